--- a/crates/decide/src/fleet/endpoint_row.rs
+++ b/crates/decide/src/fleet/endpoint_row.rs
@@ -122,11 +122,11 @@
     /// Weights as service discovery told them last; `entry` holds newer ones that were seen.
     pub listed_weights: Arc<BTreeMap<String, u64>>,
     /// When this VM last saw newer weights itself, so that peers are told.
-    pub weights_seen: Option<Moment>,
+    pub observed_weights_at: Option<Moment>,
     /// When a VM of this data centre told of newer weights, so that other data centres are told.
-    pub weights_told: Option<Moment>,
+    pub reported_weights_at: Option<Moment>,
     /// When a VM of another data centre told of newer weights, so that those beside a lead are told.
-    pub weights_far: Option<Moment>,
+    pub remote_weights_at: Option<Moment>,
     ejected_until: Moment,
     told: ToldHealth,
     breaks: u32,
@@ -153,9 +153,9 @@
             closing_until: Moment(0),
             closed_by: CloseReporter::Own,
             listed_weights: Arc::clone(&entry.weights),
-            weights_seen: None,
-            weights_told: None,
-            weights_far: None,
+            observed_weights_at: None,
+            reported_weights_at: None,
+            remote_weights_at: None,
             ejected_until: Moment(0),
             told: ToldHealth::default(),
             breaks: 0,
@@ -223,7 +223,9 @@
     /// Whether its weights change, or have changed lately, so that other VMs are told.
     pub(crate) fn is_changing(&self, now: Moment) -> bool {
         let lately = |at: Option<Moment>| at.is_some_and(|at| now < at.after_millis(CHANGED_MILLIS));
-        let has_changed = lately(self.weights_seen) || lately(self.weights_told) || lately(self.weights_far);
+        let has_changed = lately(self.observed_weights_at)
+            || lately(self.reported_weights_at)
+            || lately(self.remote_weights_at);
         has_changed || self.is_closing(now)
     }
 
@@ -261,7 +263,7 @@
     }
 
     /// Applies another VM's report of a send.
-    pub(crate) fn learn_reported(&mut self, teller: VmKey, report: &SendReport, turn: f64, now: Moment) {
+    pub(crate) fn apply_send_report(&mut self, teller: VmKey, report: &SendReport, turn: f64, now: Moment) {
         let failed = match report.outcome {
             SendOutcome::Answered => {
                 self.told.answered();
@@ -290,7 +292,7 @@
     }
 
     /// Whether a send to it is reported to other VMs: it failed, measured the pace, or probed an endpoint in doubt.
-    pub(crate) fn is_notable(&self, report: &SendReport) -> bool {
+    pub(crate) fn should_propagate(&self, report: &SendReport) -> bool {
         report.outcome != SendOutcome::Answered
             || self.told.is_doubted()
             || self.failure_ratio > NOTABLE_RATIO
--- a/crates/decide/src/fleet/fleet_table.rs
+++ b/crates/decide/src/fleet/fleet_table.rs
@@ -264,17 +264,17 @@
 
     /// Whether a send is reported to other VMs: it failed, or its endpoint failed before. A broken send indicates nothing
     /// about the endpoint while this VM has no answers from any endpoint.
-    pub fn is_notable(&self, report: &SendReport, now: Moment) -> bool {
+    pub fn should_propagate(&self, report: &SendReport, now: Moment) -> bool {
         let Some(row) = self.rows.get(&report.key) else { return false };
         let lately = |at: Moment| now < at.after_millis(REACHING_MILLIS);
         let reaches_others = self.reach.values().any(|note| note.answered_at.is_some_and(lately));
-        row.is_notable(report) && (report.outcome == SendOutcome::Answered || reaches_others)
+        row.should_propagate(report) && (report.outcome == SendOutcome::Answered || reaches_others)
     }
 
     /// Learns from what another VM reports of a send; `turn` is this VM's place, drawn anew, among all VMs.
-    pub fn learn_reported(&mut self, teller: VmKey, report: &SendReport, turn: f64, now: Moment) {
+    pub fn apply_send_report(&mut self, teller: VmKey, report: &SendReport, turn: f64, now: Moment) {
         if let Some(row) = self.rows.get_mut(&report.key) {
-            row.learn_reported(teller, report, turn, now);
+            row.apply_send_report(teller, report, turn, now);
         }
     }
 }
--- a/crates/decide/src/fleet/fleet_weights.rs
+++ b/crates/decide/src/fleet/fleet_weights.rs
@@ -30,7 +30,7 @@
     }
 
     /// The same, as told by the VM that orders the change or by one that passes it on.
-    pub fn close_as_told(&mut self, key: EndpointKey, until: Moment, is_near: bool) {
+    pub fn cordon_as_reported(&mut self, key: EndpointKey, until: Moment, is_near: bool) {
         if let Some(row) = self.rows.get_mut(&key) {
             row.closing_until = until;
             row.closed_by = if is_near { CloseReporter::Near } else { CloseReporter::Far };
@@ -44,7 +44,7 @@
             && *row.entry.weights != *weights
         {
             row.entry.weights = self.weights.share(Arc::new(weights.clone()));
-            row.weights_seen = Some(now);
+            row.observed_weights_at = Some(now);
             row.closing_until = now;
             row.kept.clear();
             self.changing.insert(key);
@@ -70,7 +70,7 @@
             row.entry.weights = self.weights.share(Arc::clone(&row.entry.weights));
             row.kept.clear();
             row.closing_until = now;
-            let told = if is_near { &mut row.weights_told } else { &mut row.weights_far };
+            let told = if is_near { &mut row.reported_weights_at } else { &mut row.remote_weights_at };
             *told = Some(now);
             self.changing.insert(key);
         }
@@ -85,7 +85,7 @@
     pub fn doubt_weights(&mut self, key: EndpointKey) {
         if let Some(row) = self.rows.get_mut(&key) {
             row.entry.weights.clone_from(&row.listed_weights);
-            row.weights_seen = None;
+            row.observed_weights_at = None;
         }
     }
 }
--- a/crates/decide/src/fleet/peer_book.rs
+++ b/crates/decide/src/fleet/peer_book.rs
@@ -220,19 +220,20 @@
     }
 
     /// Whether the deployment is small enough for every VM to tell every other.
-    pub fn tells_all(&self) -> bool {
+    pub fn broadcasts_to_all(&self) -> bool {
         self.listed_count() <= DIRECT_MOST
     }
 
     /// Addresses that this VM's own digests go to: all other VMs, or those of its data centre.
     pub fn digest_targets(&self) -> Vec<SocketAddr> {
-        let all = self.tells_all();
+        let all = self.broadcasts_to_all();
         self.rows.values().filter(|row| all || self.is_near_row(row)).map(|row| row.entry.address).collect()
     }
 
     /// Whether the leads of this data centre pass on what its VMs tell them.
     pub fn relays_near(&self) -> bool {
-        !self.tells_all() && self.rows.values().filter(|row| self.is_near_row(row)).count() >= MESH_MOST
+        !self.broadcasts_to_all()
+            && self.rows.values().filter(|row| self.is_near_row(row)).count() >= MESH_MOST
     }
 
     /// Addresses of the other VMs that lead this data centre, or are expected to: what this VM tells of itself goes
--- a/crates/decide/src/fleet/spread_plan.rs
+++ b/crates/decide/src/fleet/propagation_plan.rs
@@ -19,7 +19,7 @@
 
 /// To whom a VM sends changes, and what that takes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct SpreadPlan {
+pub struct PropagationPlan {
     /// VMs that it sends to itself: those that pass on, and its own part of the others.
     pub targets: Vec<SocketAddr>,
     /// VMs to which one that passes on sends.
@@ -51,11 +51,11 @@
 
 impl PeerBook {
     /// To whom this VM sends what concerns all VMs of its data centre.
-    pub fn spread_plan(&self) -> SpreadPlan {
+    pub fn propagation_plan(&self) -> PropagationPlan {
         let SpreadParts { relays, parts } = parts(self.own(), self.near_entries().collect());
         let relay_mbps = relays.iter().map(|vm| f64::from(vm.link_mbps)).fold(f64::INFINITY, f64::min);
         let own = parts.first().cloned().unwrap_or_default();
-        SpreadPlan {
+        PropagationPlan {
             targets: relays.iter().map(|vm| vm.address).chain(own).collect(),
             relayed_count: parts.iter().skip(1).map(Vec::len).max().unwrap_or(0),
             relay_mbps: if relays.is_empty() { 0.0 } else { relay_mbps },
--- a/crates/decide/src/kept/store_row.rs
+++ b/crates/decide/src/kept/store_row.rs
@@ -165,7 +165,7 @@
     }
 
     /// Takes what another VM heard from the store.
-    pub fn apply_told(&mut self, told: &KeptRow, until: Moment) {
+    pub fn apply_cache_report(&mut self, told: &KeptRow, until: Moment) {
         if self.incarnation != told.incarnation {
             self.parts.clear();
             self.asked.clear();
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -31,8 +31,8 @@
     EndpointRest, EndpointRow, EngineReport, EngineSpec, FleetCounts, FleetSweep, FleetTable, HeardVm,
     HomeRegions, KeptChange, KeptNews, LEADS, LimitChange, LimitReport, LinkMoves, LoadCount, LoadSource,
     NamedLimit, NewsAssembly, NewsHistory, NewsPiece, NewsProgress, PIECE_BYTES, PIECES_LIMIT, PeerBook,
-    PromptPart, RequestLimits, RestChange, RouteKind, RouteRow, RouteTable, SendOutcome, SendReport,
-    ServiceRow, ServiceWeight, SpreadPlan, StoreEvent, StoreItem, StorePosition, StoreSpec, VmEntry, VmKey,
+    PromptPart, PropagationPlan, RequestLimits, RestChange, RouteKind, RouteRow, RouteTable, SendOutcome,
+    SendReport, ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec, VmEntry, VmKey,
     WeightTarget, cut_news, pack, pick_target, short_digest, unpack,
 };
 pub use kept::{
--- a/crates/decide/src/quarantine/request_quarantine.rs
+++ b/crates/decide/src/quarantine/request_quarantine.rs
@@ -230,7 +230,7 @@
     }
 
     /// What is told again now to an audience (0 to 2), a report and a hold each second, in turn.
-    pub fn retell(&mut self, audience: usize, now: Moment) -> Vec<QuarantineNote> {
+    pub fn repeat_messages(&mut self, audience: usize, now: Moment) -> Vec<QuarantineNote> {
         let is_idle = self.is_idle();
         let Some(rhythm) = self.rhythms.get_mut(audience).filter(|rhythm| !is_idle && now >= rhythm.next_at)
         else {
--- a/crates/decide/tests/endpoint_answers.rs
+++ b/crates/decide/tests/endpoint_answers.rs
@@ -151,7 +151,7 @@
                     pace: None,
                     rest_millis: Some(millis),
                 };
-                table.learn_reported(VmKey(vm), &report, 0.5, at(now));
+                table.apply_send_report(VmKey(vm), &report, 0.5, at(now));
             }
             Step::Sweep => {
                 for key in table.sweep(at(now)).gone {
@@ -266,15 +266,15 @@
     let report =
         |millis| SendReport { key, outcome: SendOutcome::Refused, pace: None, rest_millis: Some(millis) };
     let avoided = |table: &FleetTable, millis| table.row(key).unwrap().is_ejected(at(millis));
-    table.learn_reported(VmKey(1), &report(3_000), 0.0, at(0));
-    table.learn_reported(VmKey(1), &report(3_000), 0.0, at(10));
+    table.apply_send_report(VmKey(1), &report(3_000), 0.0, at(0));
+    table.apply_send_report(VmKey(1), &report(3_000), 0.0, at(10));
     assert!(!avoided(&table, 20), "one VM's rest is its own");
-    table.learn_reported(VmKey(2), &report(1_000), 0.0, at(20));
+    table.apply_send_report(VmKey(2), &report(1_000), 0.0, at(20));
     assert!(avoided(&table, 1_000) && !avoided(&table, 1_020), "until the first of both rests ends");
     assert_eq!(place(&table, &ask(&[]), at(500)).unwrap().key, other);
     assert_eq!(place(&table, &ask(&[other]), at(500)).unwrap().key, key, "while there is another one");
     let served = SendReport { outcome: SendOutcome::Answered, rest_millis: None, ..report(0) };
-    table.learn_reported(VmKey(3), &served, 0.0, at(600));
+    table.apply_send_report(VmKey(3), &served, 0.0, at(600));
     assert!(!avoided(&table, 600), "an answer to anybody ends it");
 }
 
--- a/crates/decide/tests/engine_starts.rs
+++ b/crates/decide/tests/engine_starts.rs
@@ -77,7 +77,7 @@
                 pace: None,
                 rest_millis: None,
             };
-            table.learn_reported(VmKey::of(vm), &report, 0.0, at(5));
+            table.apply_send_report(VmKey::of(vm), &report, 0.0, at(5));
         }
     });
     let row = table.row(key(2_000)).unwrap();
@@ -115,7 +115,7 @@
     let load = LoadCount { running: 9, ..LoadCount::default() };
     table.apply_peer_loads(LoadSource::Vm(VmKey::of("a")), &[(key(1_000), load)], at(21));
     table.raise_weights(key(1_000), spanfold_decide::short_digest("m"), 9, true, at(22));
-    table.close_as_told(key(1_000), at(900), true);
+    table.cordon_as_reported(key(1_000), at(900), true);
     table.note_parts(key(1_000), &PARTS, 7);
     table.learn(key(1_000), SendOutcome::Broken, at(23));
     let row = table.row(key(2_000)).unwrap();
--- a/crates/decide/tests/kept.rs
+++ b/crates/decide/tests/kept.rs
@@ -196,7 +196,7 @@
         let parts: usize = told.rows.iter().map(|row| row.parts.len()).sum();
         assert!(parts <= 500, "{parts}");
         for row in &told.rows {
-            to.store_mut(row.store).unwrap().apply_told(row, Moment::NEVER);
+            to.store_mut(row.store).unwrap().apply_cache_report(row, Moment::NEVER);
         }
         if !told.is_partial {
             break;
--- a/crates/decide/tests/peer_book.rs
+++ b/crates/decide/tests/peer_book.rs
@@ -85,10 +85,10 @@
 
 #[test]
 fn a_small_deployment_tells_all_and_a_large_one_its_data_centre() {
-    assert!(book().tells_all());
+    assert!(book().broadcasts_to_all());
     assert_eq!(book().digest_targets().len(), 3);
     let large = large_book();
-    assert!(!large.tells_all());
+    assert!(!large.broadcasts_to_all());
     assert_eq!(large.digest_targets().len(), 8);
     assert_eq!(large.far_count(), 1);
 }
--- a/crates/decide/tests/spread_plan.rs
+++ b/crates/decide/tests/propagation_plan.rs
@@ -24,7 +24,7 @@
 
 /// Who is reached by what the first VM tells, and the most that any VM sends.
 fn reached(all: &[VmEntry]) -> (Vec<SocketAddr>, usize) {
-    let plan = book(&all[0], all).spread_plan();
+    let plan = book(&all[0], all).propagation_plan();
     let (mut reached, mut most) = (plan.targets.clone(), plan.targets.len());
     for relay in all.iter().filter(|vm| plan.targets.contains(&vm.address)) {
         let targets = book(relay, all).relay_targets(VmKey::of(&all[0].name));
@@ -56,7 +56,7 @@
 fn vms_that_know_different_vms_miss_few() {
     let all: Vec<_> = (0..200).map(|number| vm(number, if number % 20 == 0 { 200 } else { 20 })).collect();
     // The teller does not know the last two yet: they ask, or are told with the next change.
-    let plan = book(&all[0], &all[..198]).spread_plan();
+    let plan = book(&all[0], &all[..198]).propagation_plan();
     let mut reached: BTreeSet<_> = plan.targets.iter().copied().collect();
     for relay in all.iter().filter(|vm| plan.targets.contains(&vm.address)) {
         reached.extend(book(relay, &all).relay_targets(VmKey::of(&all[0].name)));
--- a/crates/decide/tests/request_quarantine.rs
+++ b/crates/decide/tests/request_quarantine.rs
@@ -107,11 +107,11 @@
 }
 
 /// Carries what `from` tells again over `seconds`, of which half of the messages are lost and each other one comes twice.
-fn retell(from: &mut RequestQuarantine, to: &mut RequestQuarantine, at: Moment, seconds: u64) {
+fn repeat_messages(from: &mut RequestQuarantine, to: &mut RequestQuarantine, at: Moment, seconds: u64) {
     let mut random = SmallRng::seed_from_u64(3);
     for second in 0..seconds {
         let now = Moment(at.0 + second * SECOND);
-        for note in from.retell(0, now) {
+        for note in from.repeat_messages(0, now) {
             if random.random() {
                 to.take_note(&note, now);
                 to.take_note(&note, Moment(now.0 + SECOND / 2));
@@ -128,7 +128,7 @@
     three_ends(&mut knows, 10, begun);
     let at = Moment(begun.0 + SECOND);
     knows.take_report(&report(2, 40, at), at);
-    retell(&mut knows, &mut late, at, 32);
+    repeat_messages(&mut knows, &mut late, at, 32);
     assert!(is_held(&late, 1, Moment(at.0 + 32 * SECOND)));
     assert_eq!((late.endings_of(request(1)), late.endings_of(request(2))), (3, 1));
 }
@@ -142,8 +142,8 @@
     one.take_report(&report(1, 12, at(102)), at(102));
     assert!(!is_held(&one, 1, at(103)) && !is_held(&other, 1, at(103)));
     // The cut heals minutes later.
-    retell(&mut one, &mut other, at(300), 16);
-    retell(&mut other, &mut one, at(320), 16);
+    repeat_messages(&mut one, &mut other, at(300), 16);
+    repeat_messages(&mut other, &mut one, at(320), 16);
     assert!(is_held(&one, 1, at(340)) && is_held(&other, 1, at(340)));
 }
 
@@ -152,7 +152,7 @@
     let (mut one, mut other) = (RequestQuarantine::default(), RequestQuarantine::default());
     let begun = Moment(1_000 * SECOND);
     three_ends(&mut one, 10, begun);
-    retell(&mut one, &mut other, begun, 16);
+    repeat_messages(&mut one, &mut other, begun, 16);
     let lifted = Moment(begun.0 + 40 * SECOND);
     assert_eq!(one.lift(request(1), lifted), Some(1));
     assert_eq!(one.lift(request(1), lifted), None);
@@ -160,13 +160,13 @@
     one.take_note(&note, lifted);
     one.take_stored(request(1), (1, 3), lifted);
     assert!(!is_held(&one, 1, lifted));
-    retell(&mut one, &mut other, lifted, 8);
+    repeat_messages(&mut one, &mut other, lifted, 8);
     assert!(!is_held(&other, 1, Moment(lifted.0 + 9 * SECOND)));
     // A VM that starts meanwhile lists it in the store.
     let mut fresh = RequestQuarantine::default();
     fresh.take_stored(request(1), (1, 3), lifted);
     assert!(is_held(&fresh, 1, lifted));
-    retell(&mut other, &mut fresh, Moment(lifted.0 + 10 * SECOND), 8);
+    repeat_messages(&mut other, &mut fresh, Moment(lifted.0 + 10 * SECOND), 8);
     assert!(!is_held(&fresh, 1, Moment(lifted.0 + 20 * SECOND)));
     // New ends count.
     let changes = three_ends(&mut one, 50, Moment(lifted.0 + 60 * SECOND));
@@ -254,8 +254,9 @@
         quarantine.take_report(&report(number, number, before), before);
     }
     three_ends(&mut quarantine, 1_000, begun);
-    let notes: Vec<_> =
-        (0..100).flat_map(|tenth| quarantine.retell(0, Moment(begun.0 + tenth * SECOND / 10))).collect();
+    let notes: Vec<_> = (0..100)
+        .flat_map(|tenth| quarantine.repeat_messages(0, Moment(begun.0 + tenth * SECOND / 10)))
+        .collect();
     // A report and a hold each second for ten seconds.
     assert_eq!(notes.len(), 20);
     for note in &notes {
--- a/crates/decide/tests/told_health.rs
+++ b/crates/decide/tests/told_health.rs
@@ -56,21 +56,21 @@
 #[test]
 fn one_vms_word_passes_nobody_over_and_two_do_until_an_answer() {
     let mut table = table(2);
-    table.learn_reported(vm(1), &report(SendOutcome::Unreached), 0.0, at(0));
-    table.learn_reported(vm(1), &report(SendOutcome::Unreached), 0.0, at(100));
+    table.apply_send_report(vm(1), &report(SendOutcome::Unreached), 0.0, at(0));
+    table.apply_send_report(vm(1), &report(SendOutcome::Unreached), 0.0, at(100));
     assert!(!is_ejected(&table, at(100)), "a VM that is cut off tells of all endpoints, again and again");
-    table.learn_reported(vm(2), &report(SendOutcome::Unreached), 0.0, at(200));
+    table.apply_send_report(vm(2), &report(SendOutcome::Unreached), 0.0, at(200));
     assert!(is_ejected(&table, at(200)));
-    table.learn_reported(vm(3), &report(SendOutcome::Answered), 0.0, at(300));
+    table.apply_send_report(vm(3), &report(SendOutcome::Answered), 0.0, at(300));
     assert!(!is_ejected(&table, at(300)), "it answers somebody");
 }
 
 #[test]
 fn an_answer_between_two_vms_words_speaks_for_the_endpoint() {
     let mut table = table(2);
-    table.learn_reported(vm(1), &report(SendOutcome::Unreached), 0.0, at(0));
-    table.learn_reported(vm(2), &report(SendOutcome::Answered), 0.0, at(50));
-    table.learn_reported(vm(3), &report(SendOutcome::Unreached), 0.0, at(100));
+    table.apply_send_report(vm(1), &report(SendOutcome::Unreached), 0.0, at(0));
+    table.apply_send_report(vm(2), &report(SendOutcome::Answered), 0.0, at(50));
+    table.apply_send_report(vm(3), &report(SendOutcome::Unreached), 0.0, at(100));
     assert!(!is_ejected(&table, at(100)));
 }
 
@@ -78,7 +78,7 @@
 fn answers_that_break_pass_nobody_over_but_cost() {
     let mut table = table(2);
     for teller in 0..20 {
-        table.learn_reported(vm(teller), &report(SendOutcome::Broken), 0.0, at(teller * 20));
+        table.apply_send_report(vm(teller), &report(SendOutcome::Broken), 0.0, at(teller * 20));
     }
     assert!(!is_ejected(&table, at(400)));
     assert!(table.row(key(0)).unwrap().failure_ratio() > 0.8);
@@ -89,7 +89,7 @@
     let mut fleet = table(2);
     let slow = SendReport { key: key(0), outcome: SendOutcome::Answered, pace: Some(3.5), rest_millis: None };
     for teller in 0..10 {
-        fleet.learn_reported(vm(teller), &slow, 0.0, at(teller * 200));
+        fleet.apply_send_report(vm(teller), &slow, 0.0, at(teller * 200));
     }
     assert!(fleet.row(key(0)).unwrap().pace() > 2.2, "{}", fleet.row(key(0)).unwrap().pace());
     // Every seventh VM is 5.5 times slower itself.
@@ -97,7 +97,7 @@
     for teller in 0..70 {
         let pace = if teller % 7 == 0 { 5.5 } else { 1.0 };
         let report = SendReport { pace: Some(pace), ..slow };
-        fleet.learn_reported(vm(teller), &report, 0.0, at(teller * 200));
+        fleet.apply_send_report(vm(teller), &report, 0.0, at(teller * 200));
     }
     assert!(fleet.row(key(0)).unwrap().pace() < 1.3, "{}", fleet.row(key(0)).unwrap().pace());
 }
@@ -106,15 +106,15 @@
 fn a_vm_that_reaches_nobody_reports_nothing_and_answers_of_sound_endpoints_are_not_reported() {
     let mut table = table(2);
     table.learn(key(0), SendOutcome::Unreached, at(0));
-    assert!(!table.is_notable(&report(SendOutcome::Unreached), at(0)));
+    assert!(!table.should_propagate(&report(SendOutcome::Unreached), at(0)));
     table.learn(key(1), SendOutcome::Answered, at(100));
-    assert!(table.is_notable(&report(SendOutcome::Unreached), at(200)));
-    assert!(!table.is_notable(&report(SendOutcome::Unreached), at(3_000)));
+    assert!(table.should_propagate(&report(SendOutcome::Unreached), at(200)));
+    assert!(!table.should_propagate(&report(SendOutcome::Unreached), at(3_000)));
     let sound = SendReport { key: key(1), outcome: SendOutcome::Answered, pace: None, rest_millis: None };
-    assert!(!table.is_notable(&sound, at(200)));
+    assert!(!table.should_propagate(&sound, at(200)));
     // Usual paces are reported like slow ones: from slow ones alone, all engines would be believed slow.
-    assert!(table.is_notable(&SendReport { pace: Some(1.0), ..sound }, at(200)));
-    assert!(table.is_notable(&SendReport { pace: Some(3.0), ..sound }, at(200)));
+    assert!(table.should_propagate(&SendReport { pace: Some(1.0), ..sound }, at(200)));
+    assert!(table.should_propagate(&SendReport { pace: Some(3.0), ..sound }, at(200)));
 }
 
 const VMS: usize = 60;
@@ -175,10 +175,10 @@
             tables[teller].release(key(engine), load);
             tables[teller].learn(key(engine), outcome, now);
             let report = SendReport { key: key(engine), outcome, pace: None, rest_millis: None };
-            if tells && tables[teller].is_notable(&report, now) {
+            if tells && tables[teller].should_propagate(&report, now) {
                 for (_, table) in tables.iter_mut().enumerate().filter(|(other, _)| *other != teller) {
                     let turn = draw.random::<f64>() * VMS as f64;
-                    table.learn_reported(vm(teller as u64), &report, turn, now);
+                    table.apply_send_report(vm(teller as u64), &report, turn, now);
                 }
             }
         }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -294,7 +294,7 @@
 
     /// Notes how a send went, so that peers are told if it matters to them.
     pub(crate) fn note_send(&self, report: SendReport) {
-        if self.table().is_notable(&report, self.now()) {
+        if self.table().should_propagate(&report, self.now()) {
             let report = (VmKey::of(&self.settings.name), report);
             self.near_reports.push(report);
             self.report_far(report);
@@ -308,7 +308,7 @@
         let is_told = {
             let table = self.table();
             let is_near = |row: &EndpointRow| row.entry.data_centre == self.settings.data_centre;
-            table.row(report.key).is_some_and(is_near) && table.is_notable(&report, self.now())
+            table.row(report.key).is_some_and(is_near) && table.should_propagate(&report, self.now())
         };
         if is_told {
             self.far_reports.push((teller, report));
--- a/crates/gateway/src/peers/gossip.rs
+++ b/crates/gateway/src/peers/gossip.rs
@@ -85,11 +85,11 @@
 pub(crate) async fn send_far_digests(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     loop {
         let now = gateway.now();
-        let (place, far_count, tells_all) = {
+        let (place, far_count, broadcasts_to_all) = {
             let peers = gateway.peers();
-            (peers.lead_place(now), peers.far_count(), peers.tells_all())
+            (peers.lead_place(now), peers.far_count(), peers.broadcasts_to_all())
         };
-        if tells_all || place >= LEADS || far_count == 0 {
+        if broadcasts_to_all || place >= LEADS || far_count == 0 {
             let _ = (gateway.far_notes.take(), gateway.far_reports.take());
             let _ = (gateway.far_cases.take(), gateway.far_answers.take());
             gateway.rollouts().sums.far.clear();
@@ -112,7 +112,7 @@
         let (place, far_count, targets) = {
             let peers = gateway.peers();
             let place = peers.lead_place(now);
-            let passes = !peers.tells_all() && place < LEADS;
+            let passes = !peers.broadcasts_to_all() && place < LEADS;
             let targets = if passes { peers.near_addresses() } else { Vec::new() };
             (place, peers.far_count(), targets)
         };
--- a/crates/gateway/src/peers/kept_digest.rs
+++ b/crates/gateway/src/peers/kept_digest.rs
@@ -61,7 +61,7 @@
         let mut table = gateway.table();
         for row in &self.rows {
             if let Some(book) = table.store_mut(row.store) {
-                book.apply_told(row, until);
+                book.apply_cache_report(row, until);
             }
         }
     }
@@ -70,19 +70,19 @@
 /// Whether this VM asks the stores: in a small deployment each one does, for itself.
 pub(crate) fn asks_stores(gateway: &Gateway, now: Moment) -> bool {
     let peers = gateway.peers();
-    peers.tells_all() || peers.lead_place(now) == 0
+    peers.broadcasts_to_all() || peers.lead_place(now) == 0
 }
 
 /// VMs that ask each store.
 pub(crate) fn askers(gateway: &Gateway) -> usize {
     let peers = gateway.peers();
-    if peers.tells_all() { peers.listed_count() } else { peers.far_count() + 1 }
+    if peers.broadcasts_to_all() { peers.listed_count() } else { peers.far_count() + 1 }
 }
 
 /// Where this VM tells what it hears from the stores: nowhere if the others ask themselves.
 fn told_to(gateway: &Gateway) -> Vec<SocketAddr> {
     let peers = gateway.peers();
-    let tells = !peers.tells_all() && peers.lead_place(gateway.now()) == 0;
+    let tells = !peers.broadcasts_to_all() && peers.lead_place(gateway.now()) == 0;
     if tells { peers.near_addresses() } else { Vec::new() }
 }
 
--- a/crates/gateway/src/peers/load_digest.rs
+++ b/crates/gateway/src/peers/load_digest.rs
@@ -152,7 +152,7 @@
             DigestScope::Elsewhere => 2,
         };
         let DigestNotes { placed, reports, mut cases, answers, rollouts } = notes;
-        cases.extend(gateway.desk().quarantine.retell(audience, now));
+        cases.extend(gateway.desk().quarantine.repeat_messages(audience, now));
         let loads = loads.into_iter();
         Self {
             scope,
@@ -215,7 +215,7 @@
         }
         for (teller, report) in &self.reports {
             let turn = rand::random::<f64>() * vms as f64;
-            table.learn_reported(*teller, report, turn, now);
+            table.apply_send_report(*teller, report, turn, now);
         }
         for (key, model, version) in &self.weights {
             table.raise_weights(*key, *model, *version, is_near, now);
@@ -225,7 +225,7 @@
             let is_outdated =
                 self.scope == DigestScope::Elsewhere && (is_lead || has_loaded(&table, *key, now));
             if !is_outdated {
-                table.close_as_told(*key, now.after_micros(*micros), is_near);
+                table.cordon_as_reported(*key, now.after_micros(*micros), is_near);
             }
         }
         drop(table);
@@ -246,7 +246,7 @@
 
 /// Whether another data centre told a moment ago that an engine has newer weights.
 fn has_loaded(table: &FleetTable, key: EndpointKey, now: Moment) -> bool {
-    let loaded_at = table.row(key).and_then(|row| row.weights_far);
+    let loaded_at = table.row(key).and_then(|row| row.remote_weights_at);
     loaded_at.is_some_and(|at| now < at.after_millis(PASSED_LAG_MILLIS))
 }
 
@@ -265,9 +265,9 @@
 fn seen_weights(table: &FleetTable, scope: DigestScope, now: Moment) -> Vec<(EndpointKey, u64, u64)> {
     let lately = |at: Option<Moment>| at.is_some_and(|at| now < at.after_millis(WEIGHTS_TOLD_MILLIS));
     let rows = table.changing().filter(|(_, row)| match scope {
-        DigestScope::Vm => lately(row.weights_seen),
-        DigestScope::DataCentre => lately(row.weights_seen) || lately(row.weights_told),
-        DigestScope::Elsewhere => lately(row.weights_far),
+        DigestScope::Vm => lately(row.observed_weights_at),
+        DigestScope::DataCentre => lately(row.observed_weights_at) || lately(row.reported_weights_at),
+        DigestScope::Elsewhere => lately(row.remote_weights_at),
     });
     let weights = rows.flat_map(|(key, row)| {
         row.entry.weights.iter().map(move |(model, version)| (key, short_digest(model), *version))
--- a/crates/gateway/src/store/news_teller.rs
+++ b/crates/gateway/src/store/news_teller.rs
@@ -6,7 +6,7 @@
 use crate::peers::gossip;
 use crate::peers::peer_message::PeerMessage;
 use crate::store::store_news::{NewsPlan, StoreNews};
-use crate::{SpreadPlan, StoreEvent, StorePosition, VmKey};
+use crate::{PropagationPlan, StoreEvent, StorePosition, VmKey};
 use std::collections::HashMap;
 use std::sync::Arc;
 use tokio::net::UdpSocket;
@@ -44,7 +44,7 @@
 
     /// Tells all VMs of this data centre; returns when the last piece is on its way.
     pub(crate) async fn tell_near(&self, changes: &ToldChanges) {
-        let spread = self.gateway.peers().spread_plan();
+        let spread = self.gateway.peers().propagation_plan();
         tell(&self.gateway, &self.socket, changes, (&spread, true)).await;
     }
 
@@ -66,7 +66,7 @@
     pub(crate) fn answer(&mut self, vm: VmKey, changes: ToldChanges) {
         let Some(target) = self.gateway.peers().address_of(vm) else { return };
         let (gateway, socket) = (Arc::clone(&self.gateway), Arc::clone(&self.socket));
-        let spread = SpreadPlan { targets: vec![target], ..SpreadPlan::default() };
+        let spread = PropagationPlan { targets: vec![target], ..PropagationPlan::default() };
         let answer = tokio::spawn(async move { tell(&gateway, &socket, &changes, (&spread, false)).await });
         self.answers.insert(vm, answer);
     }
@@ -76,7 +76,7 @@
     gateway: &Gateway,
     socket: &UdpSocket,
     changes: &ToldChanges,
-    (spread, is_spread): (&SpreadPlan, bool),
+    (spread, is_spread): (&PropagationPlan, bool),
 ) {
     if spread.targets.is_empty() {
         return;
--- a/crates/gateway/src/store/store_news.rs
+++ b/crates/gateway/src/store/store_news.rs
@@ -4,7 +4,7 @@
 //! piece, does not take them; it asks, in the end the store itself, which loses nothing. So a lost
 //! datagram costs one call.
 
-use crate::{NewsPiece, PIECE_BYTES, SpreadPlan, StoreEvent, StorePosition, cut_news};
+use crate::{NewsPiece, PIECE_BYTES, PropagationPlan, StoreEvent, StorePosition, cut_news};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -55,7 +55,7 @@
 
 impl NewsPlan {
     /// How a VM with a link of `link_mbps` tells others of `events`.
-    pub(crate) fn new(events: &[StoreEvent], spread: &SpreadPlan, link_mbps: f64) -> Self {
+    pub(crate) fn new(events: &[StoreEvent], spread: &PropagationPlan, link_mbps: f64) -> Self {
         let relayed = piece_pause(spread.relayed_count, spread.relay_mbps);
         let pause = piece_pause(spread.targets.len(), link_mbps).max(relayed);
         let is_told = |pieces: &Vec<_>| pieces.len() <= 1 || pause * pieces.len() as u32 <= TELL_LIMIT;
