--- a/crates/decide/src/admit/shared_rate.rs
+++ b/crates/decide/src/admit/shared_rate.rs
@@ -154,7 +154,7 @@
     }
 
     /// Notes that the store told at `news_at` that the list stands as this VM knows it.
-    pub fn hear_news(&mut self, news_at: Moment) {
+    pub fn record_list_confirmation(&mut self, news_at: Moment) {
         if self.news_since.is_none() || news_at >= self.news_at.after_millis(PART_KEPT_MILLIS) {
             self.news_since = Some(news_at);
         }
--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -40,7 +40,7 @@
 pub use named_limit::{LimitChange, LimitReport, NamedLimit};
 pub use news_history::NewsHistory;
 pub use news_pieces::{NewsAssembly, NewsPiece, NewsProgress, PIECE_BYTES, PIECES_LIMIT, cut_news};
-pub use peer_book::{HeardVm, LEADS, PeerBook, VmEntry};
+pub use peer_book::{LEADS, PeerBook, PeerHeartbeat, VmEntry};
 pub use propagation_plan::PropagationPlan;
 pub use route_table::{RouteTable, pick_target};
 pub use send_report::SendReport;
--- a/crates/decide/src/fleet/peer_book.rs
+++ b/crates/decide/src/fleet/peer_book.rs
@@ -66,7 +66,7 @@
 
 /// The newest digest of a VM that was heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeardVm {
+pub struct PeerHeartbeat {
     /// The VM.
     pub vm: VmKey,
     /// Its incarnation.
@@ -182,7 +182,7 @@
 
     /// Notes what a VM passes on of other data centres; false if it is older than what it passed on before, or
     /// its sender is unknown.
-    pub fn hear_passed(&mut self, vm: VmKey, incarnation: u64, sequence: u64, now: Moment) -> bool {
+    pub fn record_relayed_digest(&mut self, vm: VmKey, incarnation: u64, sequence: u64, now: Moment) -> bool {
         let Some(row) = self.rows.get_mut(&vm) else { return false };
         if row.passed_sequence.0 == incarnation && row.passed_sequence.1 >= sequence {
             return false;
@@ -193,7 +193,7 @@
     }
 
     /// Takes what a VM of this data centre heard of a far one, which was at `heard_at`.
-    pub fn hear_through(&mut self, heard: &HeardVm, heard_at: Moment) {
+    pub fn record_indirect_digest(&mut self, heard: &PeerHeartbeat, heard_at: Moment) {
         let Some(row) = self.rows.get_mut(&heard.vm) else { return };
         let newest = row.sequence.0 != heard.incarnation || row.sequence.1 < heard.sequence;
         if newest && row.heard_at.is_none_or(|at| at < heard_at) {
@@ -203,12 +203,12 @@
     }
 
     /// VMs of other data centres that were heard lately, and how long ago, in microseconds.
-    pub fn far_heard(&self, now: Moment) -> Vec<(HeardVm, u64)> {
+    pub fn live_remote_peers(&self, now: Moment) -> Vec<(PeerHeartbeat, u64)> {
         let far = self.rows.iter().filter(|(_, row)| !self.is_near_row(row));
         let heard = far.filter_map(|(vm, row)| {
             let at = row.heard_at.filter(|at| now < at.after_millis(HEARD_MILLIS))?;
             let (incarnation, sequence) = row.sequence;
-            Some((HeardVm { vm: *vm, incarnation, sequence }, now.micros_since(at)))
+            Some((PeerHeartbeat { vm: *vm, incarnation, sequence }, now.micros_since(at)))
         });
         heard.collect()
     }
@@ -405,7 +405,7 @@
     }
 
     /// Data centres none of whose VMs, heard before, was heard of late: most likely a cut.
-    pub fn silent_data_centres(&self, now: Moment) -> Vec<&str> {
+    pub fn unreachable_data_centres(&self, now: Moment) -> Vec<&str> {
         let mut heard: BTreeMap<&str, bool> = BTreeMap::new();
         for row in self.rows.values().filter(|row| row.heard_at.is_some()) {
             let lately = row.is_heard_within(SILENT_MILLIS, now);
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -28,9 +28,9 @@
 pub(crate) use fleet::SharedWeights;
 pub use fleet::{
     AccountRow, CloseReporter, ColdSpec, DeploymentConfig, EndpointCopy, EndpointEntry, EndpointKey,
-    EndpointRest, EndpointRow, EngineReport, EngineSpec, FleetCounts, FleetSweep, FleetTable, HeardVm,
-    HomeRegions, KeptChange, KeptNews, LEADS, LimitChange, LimitReport, LinkMoves, LoadCount, LoadSource,
-    NamedLimit, NewsAssembly, NewsHistory, NewsPiece, NewsProgress, PIECE_BYTES, PIECES_LIMIT, PeerBook,
+    EndpointRest, EndpointRow, EngineReport, EngineSpec, FleetCounts, FleetSweep, FleetTable, HomeRegions,
+    KeptChange, KeptNews, LEADS, LimitChange, LimitReport, LinkMoves, LoadCount, LoadSource, NamedLimit,
+    NewsAssembly, NewsHistory, NewsPiece, NewsProgress, PIECE_BYTES, PIECES_LIMIT, PeerBook, PeerHeartbeat,
     PromptPart, PropagationPlan, RequestLimits, RestChange, RouteKind, RouteRow, RouteTable, SendOutcome,
     SendReport, ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec, VmEntry, VmKey,
     WeightTarget, cut_news, pack, pick_target, short_digest, unpack,
--- a/crates/decide/tests/peer_book.rs
+++ b/crates/decide/tests/peer_book.rs
@@ -29,13 +29,13 @@
 fn a_data_centre_is_silent_when_all_its_vms_are() {
     let mut book = book();
     // Who was never heard is not missed: peers start at different times.
-    assert!(book.silent_data_centres(at(5_000)).is_empty());
+    assert!(book.unreachable_data_centres(at(5_000)).is_empty());
     for name in ["vm-2", "vm-3", "vm-4"] {
         assert!(book.hear(VmKey::of(name), 1, 1, at(0)));
     }
     assert!(book.hear(VmKey::of("vm-3"), 1, 2, at(500)));
-    assert_eq!(book.silent_data_centres(at(1_000)), ["dc-a"]);
-    assert_eq!(book.silent_data_centres(at(1_300)), ["dc-a", "dc-b"]);
+    assert_eq!(book.unreachable_data_centres(at(1_000)), ["dc-a"]);
+    assert_eq!(book.unreachable_data_centres(at(1_300)), ["dc-a", "dc-b"]);
 }
 
 #[test]
@@ -126,22 +126,22 @@
 fn far_vms_that_a_lead_hears_count_as_heard_by_those_it_tells() {
     let mut lead = book();
     assert!(lead.hear(VmKey::of("vm-3"), 7, 4, at(1_000)));
-    let told = lead.far_heard(at(1_100));
+    let told = lead.live_remote_peers(at(1_100));
     assert_eq!(
         told.iter().map(|(heard, micros)| (heard.vm, *micros)).collect::<Vec<_>>(),
         [(VmKey::of("vm-3"), 100_000)]
     );
     let mut other = book();
     for (heard, _) in &told {
-        other.hear_through(heard, at(1_000));
+        other.record_indirect_digest(heard, at(1_000));
     }
-    assert!(other.silent_data_centres(at(1_700)).is_empty());
-    assert_eq!(other.silent_data_centres(at(1_800)), ["dc-b"]);
+    assert!(other.unreachable_data_centres(at(1_700)).is_empty());
+    assert_eq!(other.unreachable_data_centres(at(1_800)), ["dc-b"]);
     // The same digest told again, by another lead and later, makes nobody younger.
     for (heard, _) in &told {
-        other.hear_through(heard, at(1_700));
+        other.record_indirect_digest(heard, at(1_700));
     }
-    assert_eq!(other.silent_data_centres(at(1_800)), ["dc-b"]);
+    assert_eq!(other.unreachable_data_centres(at(1_800)), ["dc-b"]);
 }
 
 #[test]
@@ -149,7 +149,7 @@
     let mut lead = book();
     assert!(lead.hear(VmKey::of("vm-2"), 1, 1, at(1_000)));
     assert!(lead.hear(VmKey::of("vm-3"), 1, 1, at(0)));
-    assert!(lead.far_heard(at(1_300)).is_empty());
+    assert!(lead.live_remote_peers(at(1_300)).is_empty());
 }
 
 /// A book of `vm-00` of a data centre of so many VMs, with links of 100, listed at once.
@@ -195,9 +195,9 @@
 fn what_a_lead_passes_on_and_what_it_says_of_itself_do_not_outdate_each_other() {
     let mut book = book();
     let vm = VmKey::of("vm-2");
-    assert!(book.hear_passed(vm, 1, 9, at(0)));
+    assert!(book.record_relayed_digest(vm, 1, 9, at(0)));
     assert!(book.hear(vm, 1, 8, at(1)));
-    assert!(!book.hear_passed(vm, 1, 9, at(2)));
+    assert!(!book.record_relayed_digest(vm, 1, 9, at(2)));
     assert!(!book.hear(vm, 1, 8, at(2)));
 }
 
--- a/crates/decide/tests/shared_fleet/mod.rs
+++ b/crates/decide/tests/shared_fleet/mod.rs
@@ -112,7 +112,7 @@
             let age = random.random_range(0..NEWS_MILLIS);
             let news_at = Moment(now.0.saturating_sub(age * 1_000)).max(self.news_at);
             self.news_at = news_at;
-            self.standing.hear_news(news_at);
+            self.standing.record_list_confirmation(news_at);
             self.take_list(store, now);
             self.right = self.book.share_right(&self.standing, now);
             self.part = self.right.part(scene.endpoint, scene.data_centre, &scene.terms);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -406,7 +406,7 @@
             return Vec::new();
         }
         let silent: Vec<String> =
-            self.peers().silent_data_centres(now).into_iter().map(str::to_owned).collect();
+            self.peers().unreachable_data_centres(now).into_iter().map(str::to_owned).collect();
         if silent.is_empty() {
             return silent;
         }
--- a/crates/gateway/src/peers/load_digest.rs
+++ b/crates/gateway/src/peers/load_digest.rs
@@ -11,8 +11,8 @@
 use crate::peers::placed_note::PlacedNote;
 use crate::peers::waiting_notes::NOTES_MOST;
 use crate::{
-    EndpointKey, FleetTable, HeardVm, LEADS, LinkMoves, LoadCount, LoadSource, PeerBook, QuarantineNote,
-    RouteCounts, SumKey, VmKey, short_digest,
+    EndpointKey, FleetTable, LEADS, LinkMoves, LoadCount, LoadSource, PeerBook, PeerHeartbeat,
+    QuarantineNote, RouteCounts, SumKey, VmKey, short_digest,
 };
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
@@ -57,7 +57,7 @@
     /// Weights that were named: digest of the model, version, and microseconds since then.
     named: Vec<(u64, u64, u64)>,
     /// Far VMs that its sender heard, and how long ago, in microseconds, if it tells of elsewhere.
-    heard: Vec<(HeardVm, u64)>,
+    heard: Vec<(PeerHeartbeat, u64)>,
 }
 
 /// What waited to be told.
@@ -115,7 +115,7 @@
             rollouts: gateway.rollouts().sums.passed.take_if(is_first),
         };
         let now = gateway.now();
-        let heard = gateway.peers().far_heard(now);
+        let heard = gateway.peers().live_remote_peers(now);
         let table = gateway.table();
         let (loads, moves) = (table.far_loads(now), table.far_moves(now));
         let digest = Self::build(gateway, &table, DigestScope::Elsewhere, notes, loads, moves);
@@ -176,7 +176,7 @@
     pub(crate) fn is_heard(&self, peers: &mut PeerBook, stamp: PeerStamp, now: Moment) -> bool {
         let PeerStamp { vm, incarnation, sequence } = stamp;
         if self.scope == DigestScope::Elsewhere {
-            peers.hear_passed(vm, incarnation, sequence, now)
+            peers.record_relayed_digest(vm, incarnation, sequence, now)
         } else {
             peers.hear(vm, incarnation, sequence, now)
         }
@@ -188,7 +188,7 @@
         let (is_near, is_lead, data_centre, vms) = {
             let mut peers = gateway.peers();
             for (heard, age_micros) in &self.heard {
-                peers.hear_through(heard, Moment(now.0.saturating_sub(*age_micros)));
+                peers.record_indirect_digest(heard, Moment(now.0.saturating_sub(*age_micros)));
             }
             let data_centre = peers.data_centre_of(vm).map(short_digest);
             (peers.is_near(vm), peers.lead_place(now) < LEADS, data_centre, peers.listed_count())
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -236,7 +236,7 @@
             return;
         }
         self.news_at = self.news_at.max(Moment(now.0.saturating_sub(news.age_micros)));
-        self.gateway.list_standing().hear_news(self.news_at);
+        self.gateway.list_standing().record_list_confirmation(self.news_at);
         if self.is_asking && self.gateway.peers().leads_before(vm) {
             self.is_asking = false;
             log::info!(teller = vm.0, position:% = self.position; "watch.ceased");
@@ -445,7 +445,7 @@
         self.set_position(position);
         self.note_told(position);
         self.news_at = self.gateway.now();
-        self.gateway.list_standing().hear_news(self.news_at);
+        self.gateway.list_standing().record_list_confirmation(self.news_at);
         self.behind_since = None;
         self.gateway.note_fresh();
     }
