--- a/crates/decide/examples/placement_cost.rs
+++ b/crates/decide/examples/placement_cost.rs
@@ -3,9 +3,9 @@
 //! Prints a table; the figures of `docs/CAPACITY.md` come from it.
 
 use spanfold_decide::{
-    DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions, KeptChange, KeptNews,
-    LoadCount, LoadSource, PlacementAsk, PromptPart, ServiceRow, ShareView, StoreSpec, VersionSplit, VmKey,
-    place, salt_text,
+    CacheUpdate, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions,
+    KeptChange, LoadCount, LoadSource, PlacementAsk, PromptPart, ServiceRow, ShareView, StoreSpec,
+    VersionSplit, VmKey, place, salt_text,
 };
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
@@ -153,7 +153,7 @@
             link_mbps: 29_000.0,
             first_millis: 6.0,
             token_bytes: 18_432,
-            news_calls: 12,
+            max_long_polls: 12,
         };
         services.insert(format!("store-{store}"), ServiceRow { store: Some(spec), ..ServiceRow::default() });
     }
@@ -168,7 +168,7 @@
             let key = if part == 0 { 7 } else { 1_000 + part * size.stores as u64 + place as u64 };
             KeptChange { salt: salt.clone(), part: key, part_text: String::new(), tokens: 5_000 }
         });
-        let news = KeptNews { incarnation: 1, changes: changes.collect(), ..KeptNews::default() };
+        let news = CacheUpdate { incarnation: 1, changes: changes.collect(), ..CacheUpdate::default() };
         if let Some(row) = table.store_mut(EndpointKey::of(&format!("store-{store}"))) {
             row.replace(&news, Moment::NEVER);
         }
--- a/crates/decide/src/admit/shared_rate.rs
+++ b/crates/decide/src/admit/shared_rate.rs
@@ -124,7 +124,7 @@
     /// Until when this VM's own lease stands for sure.
     lease_until: Moment,
     /// When the store last told, directly or through another VM, that the list stands.
-    news_at: Moment,
+    confirmed_at: Moment,
     /// Since when it has had such news, so that those who left meanwhile are known; none before the first.
     news_since: Option<Moment>,
 }
@@ -154,25 +154,25 @@
     }
 
     /// Notes that the store told at `news_at` that the list stands as this VM knows it.
-    pub fn record_list_confirmation(&mut self, news_at: Moment) {
-        if self.news_since.is_none() || news_at >= self.news_at.after_millis(PART_KEPT_MILLIS) {
-            self.news_since = Some(news_at);
+    pub fn record_list_confirmation(&mut self, confirmed_at: Moment) {
+        if self.news_since.is_none() || confirmed_at >= self.confirmed_at.after_millis(PART_KEPT_MILLIS) {
+            self.news_since = Some(confirmed_at);
         }
-        self.news_at = self.news_at.max(news_at);
+        self.confirmed_at = self.confirmed_at.max(confirmed_at);
     }
 
     /// Whether this VM may use its part: the others have heard of it, and it of those that came, or came back, with it.
     pub fn holds(&self, now: Moment) -> bool {
         let is_settled = |since: Option<Moment>| {
-            since.is_some_and(|since| self.news_at >= since.after_millis(LISTED_MILLIS))
+            since.is_some_and(|since| self.confirmed_at >= since.after_millis(LISTED_MILLIS))
         };
         let is_known = is_settled(self.member_since) && is_settled(self.news_since);
-        is_known && now < self.member_until && now < self.news_at.after_millis(PART_KEPT_MILLIS)
+        is_known && now < self.member_until && now < self.confirmed_at.after_millis(PART_KEPT_MILLIS)
     }
 
     /// Whether besides it stands in the list, and the list is not old.
     pub fn is_fresh(&self, now: Moment) -> bool {
-        self.holds(now) && now < self.lease_until && now < self.news_at.after_millis(NEWS_MILLIS)
+        self.holds(now) && now < self.lease_until && now < self.confirmed_at.after_millis(NEWS_MILLIS)
     }
 }
 
--- a/crates/decide/src/fleet/deployment.rs
+++ b/crates/decide/src/fleet/deployment.rs
@@ -153,7 +153,7 @@
     /// Bytes of one token's cached state.
     pub token_bytes: u64,
     /// Calls for news that it holds back at once, from all VMs together.
-    pub news_calls: u32,
+    pub max_long_polls: u32,
 }
 
 /// One client account.
@@ -278,7 +278,7 @@
 
 /// What a store of kept cache tells: changes since the last call, or all that it holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct KeptNews {
+pub struct CacheUpdate {
     /// Differs at each start of the store.
     pub incarnation: u64,
     /// Where the next call goes on.
--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -15,8 +15,6 @@
 mod fleet_weights;
 mod home_regions;
 mod named_limit;
-mod news_history;
-mod news_pieces;
 mod peer_book;
 pub(crate) mod peer_loads;
 mod propagation_plan;
@@ -26,9 +24,11 @@
 mod store_event;
 mod store_position;
 pub(crate) mod told_health;
+mod update_fragments;
+mod update_history;
 
 pub use deployment::{
-    AccountRow, ColdSpec, DeploymentConfig, EndpointEntry, EngineReport, EngineSpec, KeptChange, KeptNews,
+    AccountRow, CacheUpdate, ColdSpec, DeploymentConfig, EndpointEntry, EngineReport, EngineSpec, KeptChange,
     PromptPart, RequestLimits, RouteKind, RouteRow, ServiceRow, ServiceWeight, StoreSpec, WeightTarget,
 };
 pub use endpoint_copy::{EndpointCopy, pack, unpack};
@@ -38,8 +38,6 @@
 pub use fleet_table::{FleetCounts, FleetSweep, FleetTable};
 pub use home_regions::HomeRegions;
 pub use named_limit::{LimitChange, LimitReport, NamedLimit};
-pub use news_history::NewsHistory;
-pub use news_pieces::{NewsAssembly, NewsPiece, NewsProgress, PIECE_BYTES, PIECES_LIMIT, cut_news};
 pub use peer_book::{LEADS, PeerBook, PeerHeartbeat, VmEntry};
 pub use propagation_plan::PropagationPlan;
 pub use route_table::{RouteTable, pick_target};
@@ -47,3 +45,7 @@
 pub(crate) use shared_weights::SharedWeights;
 pub use store_event::{StoreEvent, StoreItem};
 pub use store_position::StorePosition;
+pub use update_fragments::{
+    PIECE_BYTES, PIECES_LIMIT, ReassemblyProgress, UpdateFragment, UpdateReassembly, split_update,
+};
+pub use update_history::UpdateHistory;
--- a/crates/decide/src/fleet/news_pieces.rs
+++ b/crates/decide/src/fleet/update_fragments.rs
@@ -19,7 +19,7 @@
 
 /// One piece of changes that a VM tells others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewsPiece {
+pub struct UpdateFragment {
     /// Its place among the pieces, from zero.
     pub place: u32,
     /// How many pieces there are.
@@ -30,7 +30,7 @@
 
 /// What has come of some news.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NewsProgress {
+pub enum ReassemblyProgress {
     /// All changes.
     Whole(Vec<StoreEvent>),
     /// Pieces are missing still.
@@ -54,7 +54,7 @@
 /// let progress = assembly.take(VmKey::of("vm-1"), at(6), at(7), &pieces[0]);
 /// assert_eq!(progress, NewsProgress::Whole(events));
 /// ```
-pub fn cut_news(events: &[StoreEvent]) -> Option<Vec<NewsPiece>> {
+pub fn split_update(events: &[StoreEvent]) -> Option<Vec<UpdateFragment>> {
     if events.is_empty() {
         return Some(Vec::new());
     }
@@ -64,7 +64,7 @@
         return None;
     }
     let pieces = packed.chunks(PIECE_BYTES).zip(0..);
-    Some(pieces.map(|(content, place)| NewsPiece { place, count, content: content.to_vec() }).collect())
+    Some(pieces.map(|(content, place)| UpdateFragment { place, count, content: content.to_vec() }).collect())
 }
 
 /// Pieces of one VM's news.
@@ -84,33 +84,33 @@
 
 /// Collects the pieces of other VMs' news.
 #[derive(Debug, Default)]
-pub struct NewsAssembly(VecDeque<OpenNews>);
+pub struct UpdateReassembly(VecDeque<OpenNews>);
 
-impl NewsAssembly {
+impl UpdateReassembly {
     /// Takes a piece of the changes between two positions; tells what has come of them.
     pub fn take(
         &mut self,
         teller: VmKey,
         from: StorePosition,
         to: StorePosition,
-        piece: &NewsPiece,
-    ) -> NewsProgress {
+        piece: &UpdateFragment,
+    ) -> ReassemblyProgress {
         let (place, count) = (piece.place as usize, piece.count as usize);
         if place >= count || count > PIECES_LIMIT || piece.content.len() > PIECE_BYTES {
-            return NewsProgress::Unreadable;
+            return ReassemblyProgress::Unreadable;
         }
         let open = self.open(teller, from, to, piece.count);
         self.0[open].pieces[place] = Some(piece.content.clone());
         if self.0[open].pieces.iter().any(Option::is_none) {
-            return NewsProgress::Partial;
+            return ReassemblyProgress::Partial;
         }
         let pieces = self.0.remove(open).map(|news| news.pieces).unwrap_or_default();
         let packed: Vec<u8> = pieces.into_iter().flatten().flatten().collect();
-        unpack(&packed, CONTENT_LIMIT_BYTES).map_or(NewsProgress::Unreadable, NewsProgress::Whole)
+        unpack(&packed, CONTENT_LIMIT_BYTES).map_or(ReassemblyProgress::Unreadable, ReassemblyProgress::Whole)
     }
 
     /// Forgets pieces of changes up to `position`: they are known.
-    pub fn forget_until(&mut self, position: StorePosition) {
+    pub fn discard_up_to(&mut self, position: StorePosition) {
         self.0.retain(|news| news.to > position);
     }
 
--- a/crates/decide/src/fleet/news_history.rs
+++ b/crates/decide/src/fleet/update_history.rs
@@ -24,9 +24,9 @@
 
 /// Steps that follow one another without a gap.
 #[derive(Debug, Default)]
-pub struct NewsHistory(VecDeque<HistoryStep>);
+pub struct UpdateHistory(VecDeque<HistoryStep>);
 
-impl NewsHistory {
+impl UpdateHistory {
     /// Adds a step. One that does not follow the last one begins the history anew.
     pub fn push(&mut self, from: StorePosition, to: StorePosition, events: &[StoreEvent], now: Moment) {
         if from >= to {
--- a/crates/decide/src/kept/mod.rs
+++ b/crates/decide/src/kept/mod.rs
@@ -4,8 +4,8 @@
 mod kept_parts;
 mod kept_plan;
 mod kept_row;
-mod news_rhythm;
 mod old_parts;
+mod poll_schedule;
 mod store_row;
 
 pub use book_teller::{BookTeller, ToldBooks};
@@ -15,6 +15,6 @@
     MoveTerms, PartHolders, PartMoves, REREAD_MICROS, SavePlace, plan_fetches, plan_kept, plan_saves,
 };
 pub use kept_row::KeptRow;
-pub use news_rhythm::NewsRhythm;
 pub use old_parts::old_parts;
+pub use poll_schedule::PollSchedule;
 pub use store_row::{StoreRow, salted_key};
--- a/crates/decide/src/kept/old_parts.rs
+++ b/crates/decide/src/kept/old_parts.rs
@@ -5,7 +5,7 @@
 //! apart while it frees one of them is not said by its protocol; the room lost is small, because
 //! freeing comes soon after a change of weights.
 
-use crate::KeptNews;
+use crate::CacheUpdate;
 use crate::salt_version;
 use std::collections::HashSet;
 
@@ -19,7 +19,7 @@
 /// assert_eq!(old_parts(&news, "m", 2), [("shared.m.1".to_owned(), "7".to_owned())]);
 /// assert!(old_parts(&news, "m", 1).is_empty());
 /// ```
-pub fn old_parts(news: &KeptNews, model: &str, version: u64) -> Vec<(String, String)> {
+pub fn old_parts(news: &CacheUpdate, model: &str, version: u64) -> Vec<(String, String)> {
     let made_by = |salt: &str| salt_version(salt).filter(|(other, _)| *other == model).map(|(_, made)| made);
     let is_old = |salt: &str| made_by(salt).is_some_and(|made| made < version);
     let renewed: HashSet<&str> = news
--- a/crates/decide/src/kept/news_rhythm.rs
+++ b/crates/decide/src/kept/poll_schedule.rs
@@ -20,14 +20,14 @@
 
 /// How a lead asks one store for news.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NewsRhythm {
+pub struct PollSchedule {
     /// How long a call may be held back, in milliseconds.
     pub held_millis: u64,
     /// Rest after a call, in milliseconds.
     pub rest_millis: u64,
 }
 
-impl NewsRhythm {
+impl PollSchedule {
     /// The rhythm for `askers` leads at a store that holds `calls` back at once.
     ///
     /// # Examples
--- a/crates/decide/src/kept/store_row.rs
+++ b/crates/decide/src/kept/store_row.rs
@@ -5,7 +5,7 @@
 //! estimated from what it told and from what was sent there and has not been told yet.
 
 use crate::KeptRow;
-use crate::{EndpointKey, KeptNews, LoadSource, StoreSpec, VmKey, short_digest};
+use crate::{CacheUpdate, EndpointKey, LoadSource, StoreSpec, VmKey, short_digest};
 use spanfold_entity::Moment;
 use std::collections::HashMap;
 
@@ -103,7 +103,7 @@
     }
 
     /// Takes all that the store holds; it counts until the given moment.
-    pub fn replace(&mut self, news: &KeptNews, until: Moment) {
+    pub fn replace(&mut self, news: &CacheUpdate, until: Moment) {
         self.parts.clear();
         self.used_tokens = 0;
         if self.incarnation != news.incarnation {
@@ -116,7 +116,7 @@
 
     /// Takes changes, which must be of the present incarnation and follow the last ones; they count
     /// until the given moment.
-    pub fn apply(&mut self, news: &KeptNews, until: Moment) {
+    pub fn apply(&mut self, news: &CacheUpdate, until: Moment) {
         self.heard_until = until;
         for change in &news.changes {
             let key = salted_key(change.part, short_digest(&change.salt));
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -27,16 +27,16 @@
 };
 pub(crate) use fleet::SharedWeights;
 pub use fleet::{
-    AccountRow, CloseReporter, ColdSpec, DeploymentConfig, EndpointCopy, EndpointEntry, EndpointKey,
-    EndpointRest, EndpointRow, EngineReport, EngineSpec, FleetCounts, FleetSweep, FleetTable, HomeRegions,
-    KeptChange, KeptNews, LEADS, LimitChange, LimitReport, LinkMoves, LoadCount, LoadSource, NamedLimit,
-    NewsAssembly, NewsHistory, NewsPiece, NewsProgress, PIECE_BYTES, PIECES_LIMIT, PeerBook, PeerHeartbeat,
-    PromptPart, PropagationPlan, RequestLimits, RestChange, RouteKind, RouteRow, RouteTable, SendOutcome,
-    SendReport, ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec, VmEntry, VmKey,
-    WeightTarget, cut_news, pack, pick_target, short_digest, unpack,
+    AccountRow, CacheUpdate, CloseReporter, ColdSpec, DeploymentConfig, EndpointCopy, EndpointEntry,
+    EndpointKey, EndpointRest, EndpointRow, EngineReport, EngineSpec, FleetCounts, FleetSweep, FleetTable,
+    HomeRegions, KeptChange, LEADS, LimitChange, LimitReport, LinkMoves, LoadCount, LoadSource, NamedLimit,
+    PIECE_BYTES, PIECES_LIMIT, PeerBook, PeerHeartbeat, PromptPart, PropagationPlan, ReassemblyProgress,
+    RequestLimits, RestChange, RouteKind, RouteRow, RouteTable, SendOutcome, SendReport, ServiceRow,
+    ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec, UpdateFragment, UpdateHistory,
+    UpdateReassembly, VmEntry, VmKey, WeightTarget, pack, pick_target, short_digest, split_update, unpack,
 };
 pub use kept::{
-    BookTeller, KeptParts, KeptPlan, KeptRow, NewsRhythm, StoreRow, ToldBooks, old_parts, salted_key,
+    BookTeller, KeptParts, KeptPlan, KeptRow, PollSchedule, StoreRow, ToldBooks, old_parts, salted_key,
 };
 pub use quarantine::{
     CrashLedger, CrashVerdict, ENDINGS_LEAST, EndingReport, EndpointEnding, HeldBook, HeldRequest, HoldPhase,
--- a/crates/decide/tests/kept.rs
+++ b/crates/decide/tests/kept.rs
@@ -1,7 +1,7 @@
 //! What is kept where: plans, books of stores, and what is freed.
 
 use spanfold_decide::{
-    BookTeller, DeploymentConfig, EndpointKey, FleetTable, KeptChange, KeptNews, LoadSource, NewsRhythm,
+    BookTeller, CacheUpdate, DeploymentConfig, EndpointKey, FleetTable, KeptChange, LoadSource, PollSchedule,
     ServiceRow, StoreRow, StoreSpec, VmKey, old_parts, short_digest,
 };
 use spanfold_entity::Moment;
@@ -11,8 +11,8 @@
     KeptChange { salt: salt.to_owned(), part, part_text: part.to_string(), tokens }
 }
 
-fn news(incarnation: u64, changes: Vec<KeptChange>) -> KeptNews {
-    KeptNews { incarnation, changes, ..KeptNews::default() }
+fn news(incarnation: u64, changes: Vec<KeptChange>) -> CacheUpdate {
+    CacheUpdate { incarnation, changes, ..CacheUpdate::default() }
 }
 
 fn store(tokens: u64) -> StoreRow {
@@ -23,7 +23,7 @@
         link_mbps: 29_000.0,
         first_millis: 6.0,
         token_bytes: 18_432,
-        news_calls: 12,
+        max_long_polls: 12,
     })
 }
 
@@ -110,7 +110,7 @@
 fn the_vms_together_have_fewer_calls_waiting_than_a_store_holds_back(vms: usize, calls: u32) {
     // The small twin of a grown day made 473,934 priced calls for 2,714 requests: with 16 VMs each
     // refused call was followed by a listing at once.
-    let rhythm = NewsRhythm::new(vms, calls);
+    let rhythm = PollSchedule::new(vms, calls);
     let round = rhythm.held_millis + rhythm.rest_millis;
     let waiting = vms as f64 * rhythm.held_millis as f64 / round as f64;
     assert!(waiting <= f64::from(calls), "{waiting}");
--- a/crates/decide/tests/peer_loads.rs
+++ b/crates/decide/tests/peer_loads.rs
@@ -94,7 +94,7 @@
         link_mbps: 29_000.0,
         first_millis: 6.0,
         token_bytes: 18_432,
-        news_calls: 12,
+        max_long_polls: 12,
     };
     let services = ["a", "b"]
         .map(|name| (name.to_owned(), ServiceRow { store: Some(spec.clone()), ..ServiceRow::default() }));
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -1,9 +1,9 @@
 //! Where requests go.
 
 use spanfold_decide::{
-    DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions, KeptChange, KeptNews,
-    LoadCount, LoadSource, PlacementAsk, PlacementChoice, PromptPart, SendOutcome, ServiceRow, ShareView,
-    StoreSpec, VersionSplit, VmKey, WantedWeights, place,
+    CacheUpdate, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions,
+    KeptChange, LoadCount, LoadSource, PlacementAsk, PlacementChoice, PromptPart, SendOutcome, ServiceRow,
+    ShareView, StoreSpec, VersionSplit, VmKey, WantedWeights, place,
 };
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
         link_mbps: 29_000.0,
         first_millis: 6.0,
         token_bytes: 18_432,
-        news_calls: 12,
+        max_long_polls: 12,
     };
     let services = BTreeMap::from([
         ("llm".to_owned(), ServiceRow { engine: Some(engine), ..ServiceRow::default() }),
@@ -192,8 +192,11 @@
         part_text: part.to_string(),
         tokens,
     };
-    let news =
-        KeptNews { incarnation: 1, changes: vec![salted(1, 2_500), salted(2, 5_000)], ..KeptNews::default() };
+    let news = CacheUpdate {
+        incarnation: 1,
+        changes: vec![salted(1, 2_500), salted(2, 5_000)],
+        ..CacheUpdate::default()
+    };
     let before = chosen(&table, &ask());
     assert_eq!((before.kept.moved_tokens, before.load.unread_tokens), (0, 9_000));
     // What no store holds is to be saved, the request's own part left out.
@@ -213,7 +216,7 @@
     let mut table = two();
     let second =
         KeptChange { salt: "shared.m.1".to_owned(), part: 2, part_text: "2".to_owned(), tokens: 5_000 };
-    let news = KeptNews { incarnation: 1, changes: vec![second], ..KeptNews::default() };
+    let news = CacheUpdate { incarnation: 1, changes: vec![second], ..CacheUpdate::default() };
     table.store_mut(key("kept")).unwrap().replace(&news, NOW.after_millis(1_000));
     let choice = chosen(&table, &ask());
     assert_eq!((choice.kept.moved_tokens, choice.kept.held_tokens), (0, 5_000));
@@ -235,7 +238,7 @@
         tokens,
     };
     let changes = vec![part(1, 2_500), part(2, 5_000)];
-    let news = KeptNews { incarnation: 1, changes, ..KeptNews::default() };
+    let news = CacheUpdate { incarnation: 1, changes, ..CacheUpdate::default() };
     let row = table.store_mut(key("kept")).unwrap();
     row.replace(&news, NOW.after_millis(1_000));
     // Other VMs' moves keep the link busy.
@@ -302,7 +305,7 @@
     let mut table = table(&[entry("i-1", "dc-a", 1), entry("i-2", "dc-b", 1)]);
     regions(&mut table);
     for (_, row) in table.stores_mut() {
-        row.replace(&KeptNews::default(), Moment::NEVER);
+        row.replace(&CacheUpdate::default(), Moment::NEVER);
     }
     // The only store stands in dc-a, in the north.
     let saves = |home: &str| {
--- a/crates/decide/tests/shared_fleet/mod.rs
+++ b/crates/decide/tests/shared_fleet/mod.rs
@@ -58,7 +58,7 @@
     sends: RecentSends,
     /// Its number, in the order in which VMs were added.
     rank: usize,
-    news_at: Moment,
+    confirmed_at: Moment,
     next_news: Moment,
     next_renewal: Moment,
     down_until: Moment,
@@ -77,7 +77,7 @@
             known: Vec::new(),
             sends: RecentSends::default(),
             rank,
-            news_at: Moment(0),
+            confirmed_at: Moment(0),
             next_news: now,
             next_renewal: now,
             down_until: Moment(0),
@@ -110,9 +110,9 @@
         if now >= self.next_news {
             self.next_news = now.after_millis(random.random_range(100..NEWS_MILLIS));
             let age = random.random_range(0..NEWS_MILLIS);
-            let news_at = Moment(now.0.saturating_sub(age * 1_000)).max(self.news_at);
-            self.news_at = news_at;
-            self.standing.record_list_confirmation(news_at);
+            let confirmed_at = Moment(now.0.saturating_sub(age * 1_000)).max(self.confirmed_at);
+            self.confirmed_at = confirmed_at;
+            self.standing.record_list_confirmation(confirmed_at);
             self.take_list(store, now);
             self.right = self.book.share_right(&self.standing, now);
             self.part = self.right.part(scene.endpoint, scene.data_centre, &scene.terms);
@@ -122,7 +122,8 @@
     fn take_list(&mut self, store: &StoreList, now: Moment) {
         self.known.resize(store.rows.len(), false);
         for (known, (entry, spans)) in self.known.iter_mut().zip(&store.rows) {
-            let is_listed = spans.iter().any(|(from, until)| *from <= self.news_at && self.news_at < *until);
+            let is_listed =
+                spans.iter().any(|(from, until)| *from <= self.confirmed_at && self.confirmed_at < *until);
             match (*known, is_listed) {
                 (false, true) => self.book.list_at(entry.clone(), now),
                 (true, false) => self.book.unlist(&entry.name, now),
--- a/crates/decide/tests/news_pieces.rs
+++ b/crates/decide/tests/update_fragments.rs
@@ -1,6 +1,8 @@
 //! Changes in pieces: whole or not at all.
 
-use spanfold_decide::{NewsAssembly, NewsProgress, StoreEvent, StoreItem, StorePosition, VmKey, cut_news};
+use spanfold_decide::{
+    ReassemblyProgress, StoreEvent, StoreItem, StorePosition, UpdateReassembly, VmKey, split_update,
+};
 
 const TELLER: VmKey = VmKey(1);
 
@@ -25,32 +27,32 @@
 #[test]
 fn pieces_make_the_changes_in_any_order_and_twice_told() {
     let events = large_change(7);
-    let mut pieces = cut_news(&events).unwrap();
+    let mut pieces = split_update(&events).unwrap();
     assert!(pieces.len() > 4);
     pieces.reverse();
     let again = pieces[0].clone();
     let last = pieces.pop().unwrap();
-    let mut assembly = NewsAssembly::default();
+    let mut assembly = UpdateReassembly::default();
     for piece in pieces.iter().chain([&again]) {
-        assert_eq!(assembly.take(TELLER, rev(6), rev(7), piece), NewsProgress::Partial);
+        assert_eq!(assembly.take(TELLER, rev(6), rev(7), piece), ReassemblyProgress::Partial);
     }
-    assert_eq!(assembly.take(TELLER, rev(6), rev(7), &last), NewsProgress::Whole(events));
+    assert_eq!(assembly.take(TELLER, rev(6), rev(7), &last), ReassemblyProgress::Whole(events));
 }
 
 #[test]
 fn pieces_of_other_vms_and_of_other_changes_are_kept_apart() {
     let (one, other) = (large_change(7), large_change(8));
-    let (one_pieces, other_pieces) = (cut_news(&one).unwrap(), cut_news(&other).unwrap());
-    let mut assembly = NewsAssembly::default();
+    let (one_pieces, other_pieces) = (split_update(&one).unwrap(), split_update(&other).unwrap());
+    let mut assembly = UpdateReassembly::default();
     for (mine, theirs) in one_pieces.iter().zip(&other_pieces).skip(1) {
-        assert_eq!(assembly.take(TELLER, rev(6), rev(7), mine), NewsProgress::Partial);
-        assert_eq!(assembly.take(TELLER, rev(7), rev(8), theirs), NewsProgress::Partial);
-        assert_eq!(assembly.take(VmKey(2), rev(6), rev(7), mine), NewsProgress::Partial);
+        assert_eq!(assembly.take(TELLER, rev(6), rev(7), mine), ReassemblyProgress::Partial);
+        assert_eq!(assembly.take(TELLER, rev(7), rev(8), theirs), ReassemblyProgress::Partial);
+        assert_eq!(assembly.take(VmKey(2), rev(6), rev(7), mine), ReassemblyProgress::Partial);
     }
-    assert_eq!(assembly.take(TELLER, rev(7), rev(8), &other_pieces[0]), NewsProgress::Whole(other));
-    assembly.forget_until(rev(7));
+    assert_eq!(assembly.take(TELLER, rev(7), rev(8), &other_pieces[0]), ReassemblyProgress::Whole(other));
+    assembly.discard_up_to(rev(7));
     // The other pieces are gone: this one is a first one again.
-    assert_eq!(assembly.take(TELLER, rev(6), rev(7), &one_pieces[0]), NewsProgress::Partial);
+    assert_eq!(assembly.take(TELLER, rev(6), rev(7), &one_pieces[0]), ReassemblyProgress::Partial);
 }
 
 #[test]
@@ -63,33 +65,33 @@
         .collect();
     let size = value.len();
     let events = vec![StoreEvent::Written(StoreItem { key: "key".to_owned(), value, position: rev(3) })];
-    let told: usize = cut_news(&events).unwrap().iter().map(|piece| piece.content.len()).sum();
+    let told: usize = split_update(&events).unwrap().iter().map(|piece| piece.content.len()).sum();
     assert!(told * 4 < size, "{told} bytes for {size}");
 }
 
 #[test]
 fn what_is_no_piece_changes_nothing() {
-    let mut piece = cut_news(&large_change(7)).unwrap().remove(0);
-    let mut assembly = NewsAssembly::default();
+    let mut piece = split_update(&large_change(7)).unwrap().remove(0);
+    let mut assembly = UpdateReassembly::default();
     for (place, count) in [(0, 0), (3, 3), (0, u32::MAX)] {
         (piece.place, piece.count) = (place, count);
-        assert_eq!(assembly.take(TELLER, rev(6), rev(7), &piece), NewsProgress::Unreadable);
+        assert_eq!(assembly.take(TELLER, rev(6), rev(7), &piece), ReassemblyProgress::Unreadable);
     }
     (piece.place, piece.count) = (0, 1);
-    assert_eq!(assembly.take(TELLER, rev(6), rev(7), &piece), NewsProgress::Unreadable);
+    assert_eq!(assembly.take(TELLER, rev(6), rev(7), &piece), ReassemblyProgress::Unreadable);
 }
 
 #[test]
 fn several_vms_that_tell_the_same_in_turn_disturb_none_of_each_other() {
     let events = large_change(7);
-    let pieces = cut_news(&events).unwrap();
-    let mut assembly = NewsAssembly::default();
+    let pieces = split_update(&events).unwrap();
+    let mut assembly = UpdateReassembly::default();
     let mut whole = 0;
     for piece in &pieces {
         for teller in 0..9 {
             whole += usize::from(matches!(
                 assembly.take(VmKey(teller), rev(6), rev(7), piece),
-                NewsProgress::Whole(_)
+                ReassemblyProgress::Whole(_)
             ));
         }
     }
@@ -99,5 +101,5 @@
 #[test]
 fn changes_of_too_many_pieces_are_not_told() {
     let events: Vec<_> = (0..12).flat_map(|revision| large_change(revision + 1)).collect();
-    assert_eq!(cut_news(&events), None);
+    assert_eq!(split_update(&events), None);
 }
--- a/crates/decide/tests/news_history.rs
+++ b/crates/decide/tests/update_history.rs
@@ -1,6 +1,6 @@
 //! Which changes of the store a VM can hand to one that missed some.
 
-use spanfold_decide::{NewsHistory, StoreEvent, StoreItem, StorePosition};
+use spanfold_decide::{StoreEvent, StoreItem, StorePosition, UpdateHistory};
 use spanfold_entity::Moment;
 
 const fn rev(revision: u64) -> StorePosition {
@@ -17,7 +17,7 @@
 
 #[test]
 fn all_changes_after_a_revision_are_told_or_none() {
-    let mut history = NewsHistory::default();
+    let mut history = UpdateHistory::default();
     history.push(rev(2), rev(5), &[removed(4), removed(5)], at(0));
     history.push(rev(5), rev(5), &[], at(0));
     history.push(rev(5), rev(9), &[removed(8)], at(1));
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_gap_and_age_end_what_can_be_told() {
-    let mut history = NewsHistory::default();
+    let mut history = UpdateHistory::default();
     history.push(rev(2), rev(5), &[removed(4)], at(0));
     history.push(rev(7), rev(9), &[removed(8)], at(1));
     assert_eq!(history.since(rev(2)), None);
@@ -49,7 +49,7 @@
             position: rev(revision),
         })
     };
-    let mut history = NewsHistory::default();
+    let mut history = UpdateHistory::default();
     for revision in 1..20 {
         history.push(rev(revision - 1), rev(revision), &[large(revision)], at(0));
     }
@@ -59,7 +59,7 @@
 
 #[test]
 fn changes_before_a_restore_are_not_told_to_those_behind_it() {
-    let mut history = NewsHistory::default();
+    let mut history = UpdateHistory::default();
     history.push(rev(2), rev(9), &[removed(8)], at(0));
     let restored = |revision| StorePosition { era: 2, revision };
     // Listed anew at 2:6; then changes follow.
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -4,7 +4,7 @@
 //! function is pure, so that a stand-in and the real platform meet the same code.
 
 use crate::{
-    AnswerFacts, DeploymentConfig, EndpointEntry, EngineReport, KeptNews, PromptPart, RolloutOrder,
+    AnswerFacts, CacheUpdate, DeploymentConfig, EndpointEntry, EngineReport, PromptPart, RolloutOrder,
     RolloutPhase, StoreEvent, StoreItem, StorePosition, WeightTarget,
 };
 use hyper::header::{HeaderMap, HeaderName};
@@ -247,11 +247,11 @@
     /// are over.
     pub events: fn(u64, u64) -> WireCall,
     /// Reads changes.
-    pub read_events: fn(&[u8]) -> Result<KeptNews, String>,
+    pub read_events: fn(&[u8]) -> Result<CacheUpdate, String>,
     /// Asks for all that is held.
     pub list: fn() -> WireCall,
     /// Reads all that is held.
-    pub read_list: fn(&[u8]) -> Result<KeptNews, String>,
+    pub read_list: fn(&[u8]) -> Result<CacheUpdate, String>,
     /// Frees parts, given as salt and part, if the store's incarnation is still the given one.
     pub free: fn(&[(String, String)], u64) -> WireCall,
     /// Writes one address for each part of a prompt, where there is one.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -35,20 +35,20 @@
 pub use operators::gateway_metrics::KindLabel;
 pub use requests::event_reader::{EventError, EventReader};
 pub use spanfold_decide::{
-    AccountRow, ColdSpec, DeploymentConfig, EndpointEntry, EndpointKey, EngineReport, EngineSpec, KeptChange,
-    KeptNews, PromptPart, RequestLimits, RolloutOrder, RolloutPhase, RouteKind, RouteRow, ServiceRow,
-    ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec, WeightTarget, salt_text,
+    AccountRow, CacheUpdate, ColdSpec, DeploymentConfig, EndpointEntry, EndpointKey, EngineReport,
+    EngineSpec, KeptChange, PromptPart, RequestLimits, RolloutOrder, RolloutPhase, RouteKind, RouteRow,
+    ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec, WeightTarget, salt_text,
 };
 pub(crate) use spanfold_decide::{
     AdmissionVerdict, AdmissionView, AnswerCounts, BookTeller, BudgetTerms, CloseReporter, ColdTerms,
     DeskStep, EndingReport, EndpointCopy, EndpointEnding, EndpointRow, EngineState, ExposureTerms,
     FleetSweep, FleetTable, HeldBytes, HeldRequest, HoldPhase, HolderId, HolderRecord, HolderStanding,
     IdentityKey, KeptRow, LEADS, LimitChange, LimitReport, LinkMoves, ListStanding, LoadCount, LoadSource,
-    NamedVersion, NamedWeights, NamingRecord, NewsAssembly, NewsHistory, NewsPiece, NewsProgress, NewsRhythm,
-    PIECE_BYTES, PeerBook, PeerHeartbeat, PlacementAsk, PlacementChoice, PropagationPlan, QuarantineChange,
-    QuarantineNote, QueueOrder, RateTerms, RequestIdentity, RequestKey, RequestQuarantine, RestChange,
-    RetryBudget, RolloutAnswer, RolloutBook, RolloutReason, RolloutRecord, RolloutRun, RolloutStep,
-    RouteCounts, RouteTable, SendOutcome, SendReport, ShareQueue, ShareRight, ShareVerdict, ShareView,
-    SumKey, TestDraw, VersionSplit, VmEntry, VmKey, WantedWeights, WeightDesk, cut_news, old_parts, pack,
-    pick_target, place, salted_key, short_digest, take_part, unpack,
+    NamedVersion, NamedWeights, NamingRecord, PIECE_BYTES, PeerBook, PeerHeartbeat, PlacementAsk,
+    PlacementChoice, PollSchedule, PropagationPlan, QuarantineChange, QuarantineNote, QueueOrder, RateTerms,
+    ReassemblyProgress, RequestIdentity, RequestKey, RequestQuarantine, RestChange, RetryBudget,
+    RolloutAnswer, RolloutBook, RolloutReason, RolloutRecord, RolloutRun, RolloutStep, RouteCounts,
+    RouteTable, SendOutcome, SendReport, ShareQueue, ShareRight, ShareVerdict, ShareView, SumKey, TestDraw,
+    UpdateFragment, UpdateHistory, UpdateReassembly, VersionSplit, VmEntry, VmKey, WantedWeights, WeightDesk,
+    old_parts, pack, pick_target, place, salted_key, short_digest, split_update, take_part, unpack,
 };
--- a/crates/gateway/src/peers/kept_task.rs
+++ b/crates/gateway/src/peers/kept_task.rs
@@ -8,7 +8,7 @@
 use crate::gateway::Gateway;
 use crate::peers::kept_digest::{askers, asks_stores};
 use crate::store::call_link::{CallLink, CallReply};
-use crate::{EndpointKey, KeptNews, NewsRhythm, StoreSpec, WireCall};
+use crate::{CacheUpdate, EndpointKey, PollSchedule, StoreSpec, WireCall};
 use hyper::StatusCode;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -127,8 +127,8 @@
     Some(news.next)
 }
 
-fn rhythm(gateway: &Gateway, spec: &StoreSpec) -> NewsRhythm {
-    NewsRhythm::new(askers(gateway), spec.news_calls)
+fn rhythm(gateway: &Gateway, spec: &StoreSpec) -> PollSchedule {
+    PollSchedule::new(askers(gateway), spec.max_long_polls)
 }
 
 /// Why a store gave no news.
@@ -151,8 +151,8 @@
     link: &mut CallLink,
     call: &WireCall,
     timeout: Duration,
-    read: fn(&[u8]) -> Result<KeptNews, String>,
-) -> Result<KeptNews, AskFailure> {
+    read: fn(&[u8]) -> Result<CacheUpdate, String>,
+) -> Result<CacheUpdate, AskFailure> {
     let cause = match link.call_large(call, Instant::now() + timeout).await {
         Ok(CallReply { status: 200, body, .. }) => match read(&body) {
             Ok(news) => return Ok(news),
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -16,8 +16,8 @@
 use crate::store::store_news::{NewsBody, StoreNews};
 use crate::store::store_view::{OrdersView, PEER_KEY_KEY, StoreListing, StoreView};
 use crate::{
-    NewsAssembly, NewsHistory, NewsProgress, StoreEvent, StorePosition, StoreRefusal, StoreReply,
-    StoreTransaction, VmKey, WireCall,
+    ReassemblyProgress, StoreEvent, StorePosition, StoreRefusal, StoreReply, StoreTransaction, UpdateHistory,
+    UpdateReassembly, VmKey, WireCall,
 };
 use spanfold_entity::Moment;
 use std::pin::pin;
@@ -93,13 +93,13 @@
         teller: NewsTeller::new(Arc::clone(&gateway), socket),
         view,
         position: StorePosition::default(),
-        news_at: Moment(0),
+        confirmed_at: Moment(0),
         rest_until: Moment(0),
         behind_since: None,
         lacking_since: None,
         told_position: StorePosition::default(),
-        history: NewsHistory::default(),
-        assembly: NewsAssembly::default(),
+        history: UpdateHistory::default(),
+        assembly: UpdateReassembly::default(),
         is_asking: false,
         has_copied: false,
         started_at: gateway.now(),
@@ -151,7 +151,7 @@
     /// All changes up to here are applied.
     position: StorePosition,
     /// When the store last told that `position` stands, directly or through another VM.
-    news_at: Moment,
+    confirmed_at: Moment,
     /// No call before then.
     rest_until: Moment,
     /// Since when other VMs tell of a position whose changes this one lacks.
@@ -161,9 +161,9 @@
     /// Newest position that another VM or the store told of.
     told_position: StorePosition,
     /// Changes that were applied a short while ago.
-    history: NewsHistory,
+    history: UpdateHistory,
     /// Pieces of changes that other VMs are telling.
-    assembly: NewsAssembly,
+    assembly: UpdateReassembly,
     /// Whether this VM, though not the first one, goes on asking because those before it brought no news.
     is_asking: bool,
     /// Whether the last listing holds a copy of another VM.
@@ -211,7 +211,7 @@
         let turn = if place == 0 || self.is_asking || self.gateway.is_stale() {
             Moment(0)
         } else {
-            self.news_at.after_millis(TURN_MILLIS + TURN_STEP_MILLIS * place)
+            self.confirmed_at.after_millis(TURN_MILLIS + TURN_STEP_MILLIS * place)
         };
         let catch_up = self.behind_since.map_or(Moment::NEVER, |since| {
             let beyond = self.gateway.peers().near_count().saturating_sub(CATCH_UP_VMS) as u64;
@@ -235,8 +235,8 @@
         if news.to > self.position && !self.take_changes(vm, news, now).await {
             return;
         }
-        self.news_at = self.news_at.max(Moment(now.0.saturating_sub(news.age_micros)));
-        self.gateway.list_standing().record_list_confirmation(self.news_at);
+        self.confirmed_at = self.confirmed_at.max(Moment(now.0.saturating_sub(news.age_micros)));
+        self.gateway.list_standing().record_list_confirmation(self.confirmed_at);
         if self.is_asking && self.gateway.peers().leads_before(vm) {
             self.is_asking = false;
             log::info!(teller = vm.0, position:% = self.position; "watch.ceased");
@@ -253,12 +253,12 @@
             return false;
         }
         let progress = match &news.body {
-            NewsBody::Unchanged => NewsProgress::Whole(Vec::new()),
+            NewsBody::Unchanged => ReassemblyProgress::Whole(Vec::new()),
             NewsBody::Piece(piece) => self.assembly.take(vm, news.from, news.to, piece),
-            NewsBody::TooLarge => NewsProgress::Unreadable,
+            NewsBody::TooLarge => ReassemblyProgress::Unreadable,
         };
         match progress {
-            NewsProgress::Whole(events) => {
+            ReassemblyProgress::Whole(events) => {
                 self.view.apply_all(&events, "peer");
                 self.history.push(self.position, news.to, &events, now);
                 self.set_position(news.to);
@@ -266,12 +266,12 @@
                 true
             }
             // The store is asked only if the next piece does not come when it should.
-            NewsProgress::Partial => {
+            ReassemblyProgress::Partial => {
                 let pause_micros = news.pause_micros.min(PIECE_PAUSE_LIMIT_MICROS);
                 self.behind_since = Some(now.after_micros(pause_micros));
                 true
             }
-            NewsProgress::Unreadable => {
+            ReassemblyProgress::Unreadable => {
                 self.behind_since.get_or_insert(now);
                 false
             }
@@ -285,7 +285,7 @@
         if !self.teller.may_answer(vm, events.iter().map(StoreEvent::size).sum()) {
             return;
         }
-        let age_micros = self.gateway.now().micros_since(self.news_at);
+        let age_micros = self.gateway.now().micros_since(self.confirmed_at);
         self.teller.answer(vm, ToldChanges { from, to, events, age_micros });
     }
 
@@ -395,7 +395,7 @@
         let mut events: Vec<_> = page.events.into_iter().filter(|event| event.position() > from).collect();
         self.view.apply_all(&events, "watch");
         self.answered(page.position.max(from));
-        self.history.push(from, self.position, &events, self.news_at);
+        self.history.push(from, self.position, &events, self.confirmed_at);
         if !events.is_empty() {
             self.rest_until = self.gateway.now().after_millis(GATHER_MILLIS);
         }
@@ -444,8 +444,8 @@
     fn answered(&mut self, position: StorePosition) {
         self.set_position(position);
         self.note_told(position);
-        self.news_at = self.gateway.now();
-        self.gateway.list_standing().record_list_confirmation(self.news_at);
+        self.confirmed_at = self.gateway.now();
+        self.gateway.list_standing().record_list_confirmation(self.confirmed_at);
         self.behind_since = None;
         self.gateway.note_fresh();
     }
@@ -453,7 +453,7 @@
     fn set_position(&mut self, position: StorePosition) {
         self.position = position;
         self.gateway.set_applied_position(position);
-        self.assembly.forget_until(position);
+        self.assembly.discard_up_to(position);
         self.gateway.metrics.store_revision.set(position.revision as i64);
     }
 
--- a/crates/gateway/src/store/store_news.rs
+++ b/crates/gateway/src/store/store_news.rs
@@ -4,7 +4,7 @@
 //! piece, does not take them; it asks, in the end the store itself, which loses nothing. So a lost
 //! datagram costs one call.
 
-use crate::{NewsPiece, PIECE_BYTES, PropagationPlan, StoreEvent, StorePosition, cut_news};
+use crate::{PIECE_BYTES, PropagationPlan, StoreEvent, StorePosition, UpdateFragment, split_update};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
     /// There are none.
     Unchanged,
     /// One piece of them.
-    Piece(NewsPiece),
+    Piece(UpdateFragment),
     /// Too large to be told to so many: each VM fetches them.
     TooLarge,
 }
@@ -59,7 +59,7 @@
         let relayed = piece_pause(spread.relayed_count, spread.relay_mbps);
         let pause = piece_pause(spread.targets.len(), link_mbps).max(relayed);
         let is_told = |pieces: &Vec<_>| pieces.len() <= 1 || pause * pieces.len() as u32 <= TELL_LIMIT;
-        let bodies = match cut_news(events).filter(is_told) {
+        let bodies = match split_update(events).filter(is_told) {
             None => vec![NewsBody::TooLarge],
             Some(pieces) if pieces.is_empty() => vec![NewsBody::Unchanged],
             Some(pieces) => pieces.into_iter().map(NewsBody::Piece).collect(),
