--- a/crates/decide/src/admit/share_queue.rs
+++ b/crates/decide/src/admit/share_queue.rs
@@ -204,7 +204,7 @@
     }
 
     /// Notes that a request goes to an endpoint that takes few.
-    pub fn note_served(&mut self, service: &str, order: &QueueOrder, now: Moment) {
+    pub fn record_served(&mut self, service: &str, order: &QueueOrder, now: Moment) {
         let queue = self.services.entry(service.to_owned()).or_default();
         queue.leave(order.number);
         queue.forget_served(now);
--- a/crates/decide/src/fleet/endpoint_rest.rs
+++ b/crates/decide/src/fleet/endpoint_rest.rs
@@ -80,14 +80,14 @@
     }
 
     /// Notes that a request is about to be sent.
-    pub fn note_send(&mut self, now: Moment) {
+    pub fn record_send(&mut self, now: Moment) {
         if self.is_returning {
             self.probe_at = now.after_millis(PROBE_MILLIS);
         }
     }
 
     /// Notes that it served a request that was sent at `sent_at`; whether it has returned with that.
-    pub fn note_served(&mut self, sent_at: Moment) -> bool {
+    pub fn record_served(&mut self, sent_at: Moment) -> bool {
         let returns = self.is_returning && sent_at >= self.until;
         self.is_returning &= !returns;
         returns
--- a/crates/decide/src/fleet/fleet_answers.rs
+++ b/crates/decide/src/fleet/fleet_answers.rs
@@ -12,7 +12,7 @@
     /// Notes that an endpoint leaves, as an answer of it said to this VM or to another one; whether that is new.
     ///
     /// An endpoint whose entry has not been read yet is remembered too: a listing made earlier may still bring it.
-    pub fn note_departure(&mut self, key: EndpointKey, now: Moment) -> bool {
+    pub fn record_departure(&mut self, key: EndpointKey, now: Moment) -> bool {
         if let Some(row) = self.rows.get_mut(&key) {
             // Nothing goes there that could use what it keeps.
             row.kept.clear();
@@ -21,7 +21,7 @@
         let is_new = !self.had_departed(key);
         if is_new {
             let ended = EndedRow { id: String::new(), at: now, weights: Arc::default(), draining: true };
-            self.note_ended(key, ended);
+            self.record_ended(key, ended);
         }
         is_new
     }
@@ -35,13 +35,13 @@
     }
 
     /// Notes that an endpoint asked this VM for a rest of so many milliseconds.
-    pub fn note_rest(&mut self, key: EndpointKey, millis: u64, now: Moment) -> RestChange {
+    pub fn record_backoff(&mut self, key: EndpointKey, millis: u64, now: Moment) -> RestChange {
         self.rows.get_mut(&key).map_or(RestChange::None, |row| row.rest.ask(millis, now))
     }
 
     /// Notes that an endpoint served a request that was sent at `sent_at`; whether it has returned from a rest with that.
-    pub fn note_served(&mut self, key: EndpointKey, sent_at: Moment) -> bool {
-        self.rows.get_mut(&key).is_some_and(|row| row.rest.note_served(sent_at))
+    pub fn record_served(&mut self, key: EndpointKey, sent_at: Moment) -> bool {
+        self.rows.get_mut(&key).is_some_and(|row| row.rest.record_served(sent_at))
     }
 
     /// What the endpoints of a service take once their rests end, if all of them rest that `may_serve` and take work.
@@ -64,7 +64,7 @@
 
     /// Notes the version of a model's weights that an answer or an event of an engine told to this VM; whether it is newer than
     /// the known one. Older ones are of answers that crossed: versions rise only.
-    pub fn note_weights(&mut self, key: EndpointKey, model: &str, version: u64, now: Moment) -> bool {
+    pub fn record_weights(&mut self, key: EndpointKey, model: &str, version: u64, now: Moment) -> bool {
         let Some(row) = self.rows.get_mut(&key) else { return false };
         if row.entry.weights.get(model).is_none_or(|known| *known >= version) {
             return false;
@@ -79,7 +79,7 @@
     }
 
     /// Notes that an endpoint stays cold for so many milliseconds, as an answer told; whether it was warm.
-    pub fn note_cold(&mut self, key: EndpointKey, millis: u64, now: Moment) -> bool {
+    pub fn record_cold(&mut self, key: EndpointKey, millis: u64, now: Moment) -> bool {
         let until = now.after_millis(millis.min(COLD_MOST_MILLIS));
         let Some(row) = self.rows.get_mut(&key) else { return false };
         let was_warm = now >= row.cold_until;
@@ -89,7 +89,7 @@
     }
 
     /// Notes whether a header of an endpoint's last answer was invalid; whether that is new.
-    pub fn note_odd_header(&mut self, key: EndpointKey, name: &'static str, is_odd: bool) -> bool {
+    pub fn record_invalid_header(&mut self, key: EndpointKey, name: &'static str, is_odd: bool) -> bool {
         let Some(row) = self.rows.get_mut(&key) else { return false };
         let place = row.odd_headers.iter().position(|known| *known == name);
         match (place, is_odd) {
--- a/crates/decide/src/fleet/fleet_limits.rs
+++ b/crates/decide/src/fleet/fleet_limits.rs
@@ -81,7 +81,7 @@
         let window_millis = terms.iter().flatten().map(|terms| terms.window_millis).max();
         let takes = self.next_share(key, row, shares, now).is_some_and(|at| at <= now);
         if takes && let Some(row) = self.rows.get_mut(&key) {
-            row.rest.note_send(now);
+            row.rest.record_send(now);
             if let Some(window_millis) = window_millis {
                 row.recent_sends.push(window_millis, now);
             }
--- a/crates/decide/src/fleet/fleet_loads.rs
+++ b/crates/decide/src/fleet/fleet_loads.rs
@@ -12,7 +12,7 @@
 impl FleetTable {
     /// Counts work sent to an endpoint, and believes that it keeps `parts` from now on.
     pub fn take(&mut self, key: EndpointKey, load: LoadCount, parts: &[PromptPart], salt: u64) {
-        self.note_parts(key, parts, salt);
+        self.record_segments(key, parts, salt);
         if let Some(row) = self.rows.get_mut(&key) {
             row.own.add(load);
             self.own_busy.insert(key);
@@ -30,7 +30,7 @@
     }
 
     /// Believes that an endpoint keeps `parts` from now on.
-    pub fn note_parts(&mut self, key: EndpointKey, parts: &[PromptPart], salt: u64) {
+    pub fn record_segments(&mut self, key: EndpointKey, parts: &[PromptPart], salt: u64) {
         let Some(row) = self.rows.get_mut(&key) else { return };
         let memory = self
             .services
--- a/crates/decide/src/fleet/fleet_table.rs
+++ b/crates/decide/src/fleet/fleet_table.rs
@@ -186,7 +186,7 @@
             }
             let draining = row.has_announced_end();
             let EndpointEntry { id, weights, .. } = row.entry;
-            self.note_ended(*key, EndedRow { id, at: now, weights, draining });
+            self.record_ended(*key, EndedRow { id, at: now, weights, draining });
         }
         for row in self.stores.values_mut() {
             row.sweep(now);
@@ -196,7 +196,7 @@
     }
 
     /// Remembers an incarnation that is gone, in place of the one that went first if there are too many.
-    pub(super) fn note_ended(&mut self, key: EndpointKey, ended: EndedRow) {
+    pub(super) fn record_ended(&mut self, key: EndpointKey, ended: EndedRow) {
         if self.ended.len() >= ENDED_MOST
             && let Some(first) = self.ended.iter().min_by_key(|(_, row)| row.at).map(|(key, _)| *key)
             && let Some(row) = self.ended.remove(&first)
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -40,7 +40,7 @@
 };
 pub use quarantine::{
     CrashLedger, CrashVerdict, ENDINGS_LEAST, EndingReport, EndpointEnding, HeldBook, HeldRequest, HoldPhase,
-    IdentityKey, KeyTextError, QuarantineChange, QuarantineNote, RequestIdentity, RequestKey,
+    IdentityKey, KeyTextError, QuarantineChange, QuarantineMessage, RequestIdentity, RequestKey,
     RequestQuarantine,
 };
 pub use rollout::{
--- a/crates/decide/src/quarantine/crash_ledger.rs
+++ b/crates/decide/src/quarantine/crash_ledger.rs
@@ -119,7 +119,7 @@
     }
 
     /// Notes that an endpoint ended, whatever ran there.
-    pub fn note_ending(&mut self, ending: EndpointEnding) {
+    pub fn record_crash(&mut self, ending: EndpointEnding) {
         if self.endings.len() >= ENDINGS_LIMIT && !self.endings.contains_key(&ending.start) {
             self.drop_endings();
         }
@@ -140,7 +140,7 @@
         if self.runs >= RUNS_LIMIT {
             self.drop_runs();
         }
-        self.note_ending(ending);
+        self.record_crash(ending);
         let Some(row) = self.endings.get_mut(&ending.start) else { return false };
         row.runs.push(LastRun { request, age_micros });
         self.requests.entry(request).or_default().push(ending.start);
--- a/crates/decide/src/quarantine/held_book.rs
+++ b/crates/decide/src/quarantine/held_book.rs
@@ -207,7 +207,7 @@
 
     /// Notes what came of writing `written` into the store, or of removing it: it is done again after `write_at`. What
     /// became of the row meanwhile is written anew.
-    pub fn note_written(&mut self, request: RequestKey, written: &HeldRequest, write_at: Moment) {
+    pub fn record_written(&mut self, request: RequestKey, written: &HeldRequest, write_at: Moment) {
         let row = self.rows.get_mut(&request);
         if let Some(row) = row.filter(|row| (row.round, row.phase) == (written.round, written.phase)) {
             row.write_at = write_at;
--- a/crates/decide/src/quarantine/mod.rs
+++ b/crates/decide/src/quarantine/mod.rs
@@ -3,13 +3,13 @@
 mod crash_ledger;
 mod ending;
 mod held_book;
-mod quarantine_note;
+mod quarantine_message;
 mod request_key;
 mod request_quarantine;
 
 pub use crash_ledger::{CrashLedger, CrashVerdict, ENDINGS_LEAST};
 pub use ending::{EndingReport, EndpointEnding};
 pub use held_book::{HeldBook, HeldRequest, HoldPhase};
-pub use quarantine_note::QuarantineNote;
+pub use quarantine_message::QuarantineMessage;
 pub use request_key::{IdentityKey, KeyTextError, RequestIdentity, RequestKey};
 pub use request_quarantine::{QuarantineChange, RequestQuarantine};
--- a/crates/decide/src/quarantine/quarantine_note.rs
+++ b/crates/decide/src/quarantine/quarantine_message.rs
@@ -9,7 +9,7 @@
 
 /// One thing to tell; 60 bytes at most in its binary form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum QuarantineNote {
+pub enum QuarantineMessage {
     /// An endpoint ended while it had a request.
     Ended {
         /// The request.
@@ -54,7 +54,7 @@
     },
 }
 
-impl QuarantineNote {
+impl QuarantineMessage {
     /// The note of a report.
     pub fn of_report(report: &EndingReport, now: Moment) -> Self {
         let EndpointEnding { start, place, service, among, at } = report.ending;
--- a/crates/decide/src/quarantine/request_quarantine.rs
+++ b/crates/decide/src/quarantine/request_quarantine.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     CrashLedger, CrashVerdict, ENDINGS_LEAST, EndingReport, EndpointEnding, HeldBook, HeldRequest, HoldPhase,
-    QuarantineNote, RequestKey,
+    QuarantineMessage, RequestKey,
 };
 
 use spanfold_entity::Moment;
@@ -119,8 +119,8 @@
     }
 
     /// Notes that an endpoint ended, whatever ran there.
-    pub fn note_ending(&mut self, ending: EndpointEnding) {
-        self.ledger.note_ending(ending);
+    pub fn record_crash(&mut self, ending: EndpointEnding) {
+        self.ledger.record_crash(ending);
     }
 
     /// Takes a report; whether it brings anything new.
@@ -159,29 +159,33 @@
     }
 
     /// Notes that an endpoint ran a request to its end; whether endpoints had ended under it before.
-    pub fn note_answered(&mut self, request: RequestKey, at: Moment) -> bool {
+    pub fn record_answered(&mut self, request: RequestKey, at: Moment) -> bool {
         let is_trial = self.book.is_on_trial(request);
         self.book.clear(request);
         self.ledger.clear(request, at) || is_trial
     }
 
     /// Takes what another VM told: whether it brings anything new, and what changes with it.
-    pub fn take_note(&mut self, note: &QuarantineNote, now: Moment) -> (bool, Vec<QuarantineChange>) {
+    pub fn apply_quarantine_message(
+        &mut self,
+        note: &QuarantineMessage,
+        now: Moment,
+    ) -> (bool, Vec<QuarantineChange>) {
         let before = |micros: u64| Moment(now.0.saturating_sub(micros));
         match *note {
-            QuarantineNote::Ended { request, start, place, service, among, age_micros, ago_micros } => {
+            QuarantineMessage::Ended { request, start, place, service, among, age_micros, ago_micros } => {
                 let ending = EndpointEnding { start, place, service, among, at: before(ago_micros) };
                 let report = EndingReport { request, ending, age_micros };
                 (self.take_report(&report, now), Vec::new())
             }
-            QuarantineNote::Answered { request, ago_micros } => {
-                (self.note_answered(request, before(ago_micros)), Vec::new())
+            QuarantineMessage::Answered { request, ago_micros } => {
+                (self.record_answered(request, before(ago_micros)), Vec::new())
             }
-            QuarantineNote::Held { request, round, endings, rest_micros } => {
+            QuarantineMessage::Held { request, round, endings, rest_micros } => {
                 let until = now.after_micros(rest_micros);
                 self.adopt(request, (round, endings), until, false, now)
             }
-            QuarantineNote::Lifted { request, round } => {
+            QuarantineMessage::Lifted { request, round } => {
                 let is_lifted = self.book.lift_as_told(request, round, now);
                 let change = QuarantineChange::Lifted { request, round };
                 if is_lifted {
@@ -219,8 +223,8 @@
     }
 
     /// Notes when a row is to be written or removed again: never if that is done.
-    pub fn note_written(&mut self, request: RequestKey, written: &HeldRequest, write_at: Moment) {
-        self.book.note_written(request, written, write_at);
+    pub fn record_written(&mut self, request: RequestKey, written: &HeldRequest, write_at: Moment) {
+        self.book.record_written(request, written, write_at);
     }
 
     /// Drops what is over; gives the holds that ended.
@@ -230,7 +234,7 @@
     }
 
     /// What is told again now to an audience (0 to 2), a report and a hold each second, in turn.
-    pub fn repeat_messages(&mut self, audience: usize, now: Moment) -> Vec<QuarantineNote> {
+    pub fn repeat_messages(&mut self, audience: usize, now: Moment) -> Vec<QuarantineMessage> {
         let is_idle = self.is_idle();
         let Some(rhythm) = self.rhythms.get_mut(audience).filter(|rhythm| !is_idle && now >= rhythm.next_at)
         else {
@@ -242,7 +246,7 @@
         rhythm.report = rhythm.report.wrapping_add(1);
         let held = self.book.next_to_tell(rhythm.held);
         rhythm.held = held.map(|(request, _)| request);
-        let report = report.map(|report| QuarantineNote::of_report(report, now));
+        let report = report.map(|report| QuarantineMessage::of_report(report, now));
         let held = held.map(|(request, row)| note_of(request, &row, now));
         report.into_iter().chain(held).collect()
     }
@@ -292,12 +296,12 @@
 }
 
 /// What is told of a row: its hold, or that it was lifted.
-fn note_of(request: RequestKey, row: &HeldRequest, now: Moment) -> QuarantineNote {
+fn note_of(request: RequestKey, row: &HeldRequest, now: Moment) -> QuarantineMessage {
     let HeldRequest { round, endings, until, .. } = *row;
     match row.phase {
-        HoldPhase::Lifted => QuarantineNote::Lifted { request, round },
+        HoldPhase::Lifted => QuarantineMessage::Lifted { request, round },
         HoldPhase::Held | HoldPhase::Trial => {
-            QuarantineNote::Held { request, round, endings, rest_micros: until.micros_since(now) }
+            QuarantineMessage::Held { request, round, endings, rest_micros: until.micros_since(now) }
         }
     }
 }
--- a/crates/decide/src/rollout/rollout_book.rs
+++ b/crates/decide/src/rollout/rollout_book.rs
@@ -130,7 +130,7 @@
     }
 
     /// Notes what the operator reads of a service.
-    pub fn note_status(&mut self, service: &str, value: &[u8], position: StorePosition) {
+    pub fn record_status(&mut self, service: &str, value: &[u8], position: StorePosition) {
         self.statuses.insert(service.to_owned(), StoredStatus { value: value.to_vec(), position });
     }
 
--- a/crates/decide/src/weights/weight_desk.rs
+++ b/crates/decide/src/weights/weight_desk.rs
@@ -212,7 +212,7 @@
     }
 
     /// Notes that an engine answers.
-    pub fn note_reached(&mut self, key: EndpointKey) {
+    pub fn record_reached(&mut self, key: EndpointKey) {
         self.unreached.remove(&key);
     }
 
--- a/crates/decide/tests/crash_ledger.rs
+++ b/crates/decide/tests/crash_ledger.rs
@@ -114,7 +114,7 @@
 fn where_endpoints_fall_over_by_themselves_three_ends_are_not_enough() {
     let mut ledger = CrashLedger::default();
     for start in 100..130 {
-        ledger.note_ending(ending(start, (start - 100) * 300 * MILLI));
+        ledger.record_crash(ending(start, (start - 100) * 300 * MILLI));
     }
     for start in 0..3 {
         ledger.take(&report(1, ending(start, start * 3 * SECOND), 300));
@@ -238,7 +238,7 @@
             let start = EndpointKey(starts[place]);
             let (at, among) = (Moment(now), endpoints as u32);
             let end = EndpointEnding { start, place: place as u64, service: 1, among, at };
-            ledger.note_ending(end);
+            ledger.record_crash(end);
             for run in std::mem::take(&mut runs[place]) {
                 let age_micros = now - run.begun;
                 ledger.take(&EndingReport { request: request(run.number), ending: end, age_micros });
--- a/crates/decide/tests/endpoint_answers.rs
+++ b/crates/decide/tests/endpoint_answers.rs
@@ -127,19 +127,19 @@
             }
             Step::Departure(place) => {
                 truth.departed.insert(truth.key(place));
-                table.note_departure(truth.key(place), at(now));
+                table.record_departure(truth.key(place), at(now));
             }
             Step::Rest(place, millis) => {
                 let key = truth.key(place);
                 if table.row(key).is_some() {
                     truth.rests.entry(key).or_default().push((at(now), at(now + millis)));
                 }
-                table.note_rest(key, millis, at(now));
+                table.record_backoff(key, millis, at(now));
                 table.learn(key, SendOutcome::Refused, at(now));
             }
             Step::Success(place, age) => {
                 table.learn(truth.key(place), SendOutcome::Answered, at(now));
-                table.note_served(
+                table.record_served(
                     truth.key(place),
                     at(now).min(Moment(at(now).0.saturating_sub(age * 1_000))),
                 );
@@ -194,8 +194,8 @@
 fn a_departure_that_was_reported_before_the_entry_was_read_holds() {
     let mut table = FleetTable::default();
     let key = EndpointKey::of_start("i-1", Some(1));
-    assert!(table.note_departure(key, at(0)));
-    assert!(!table.note_departure(key, at(1)));
+    assert!(table.record_departure(key, at(0)));
+    assert!(!table.record_departure(key, at(1)));
     assert!(!table.apply_entry(entry("i-1", 1, 8), at(2)));
     assert!(table.row(key).is_none());
     // The next start is free of it.
@@ -210,7 +210,7 @@
     for number in 0..12_000 {
         let id = format!("i-{number}");
         table.apply_entry(entry(&id, 1, 8), at(number));
-        table.note_departure(EndpointKey::of_start(&id, Some(1)), at(number));
+        table.record_departure(EndpointKey::of_start(&id, Some(1)), at(number));
         table.miss_entry(&id, Moment(0));
         if number % 100 == 99 {
             table.sweep(at(number));
@@ -226,12 +226,12 @@
     table.set_services(&DeploymentConfig::default());
     table.apply_entry(entry("i-1", 1, 8), at(0));
     let key = EndpointKey::of_start("i-1", Some(1));
-    assert_eq!(table.note_rest(key, 3_000, at(0)), RestChange::Begun(3_000));
+    assert_eq!(table.record_backoff(key, 3_000, at(0)), RestChange::Begun(3_000));
     // Shorter ones, and successes that cross it, shorten nothing; a longer one extends it.
-    assert_eq!(table.note_rest(key, 500, at(100)), RestChange::None);
+    assert_eq!(table.record_backoff(key, 500, at(100)), RestChange::None);
     table.learn(key, SendOutcome::Answered, at(200));
-    assert!(!table.note_served(key, at(50)));
-    assert_eq!(table.note_rest(key, 3_000, at(300)), RestChange::Extended(3_000));
+    assert!(!table.record_served(key, at(50)));
+    assert_eq!(table.record_backoff(key, 3_000, at(300)), RestChange::Extended(3_000));
     assert!(place(&table, &ask(&[]), at(3_299)).is_none());
     assert_eq!(table.rest_outlook("desk", 9, |_| true, at(3_299)).unwrap().rest_until, Some(at(3_300)));
     assert!(place(&table, &ask(&[]), at(3_300)).is_some());
@@ -239,7 +239,7 @@
     assert!(table.take_share(key, &shares(), at(3_300)));
     assert!(!table.take_share(key, &shares(), at(3_400)));
     assert!(table.take_share(key, &shares(), at(3_500)));
-    assert!(table.note_served(key, at(3_300)));
+    assert!(table.record_served(key, at(3_300)));
     assert!((0..50).all(|_| table.take_share(key, &shares(), at(3_510))));
 }
 
@@ -249,7 +249,7 @@
     let mut rest = EndpointRest::default();
     assert_eq!(rest.ask(1_000_000_000_000, at(0)), RestChange::Begun(3_600_000));
     assert_eq!((rest.is_resting(at(3_599_999)), rest.is_resting(at(3_600_000))), (true, false));
-    rest.note_send(at(3_600_000));
+    rest.record_send(at(3_600_000));
     assert!(rest.next_at(at(3_600_001)) > at(3_600_001));
     // It asks again, if it meant it.
     assert_eq!(rest.ask(1_000_000_000_000, at(3_600_010)), RestChange::Begun(3_600_000));
@@ -319,7 +319,7 @@
         let (due, later) = self.messages.drain(..).partition(|(_, _, arrives)| *arrives <= now);
         self.messages = later;
         for (vm, key, _) in due {
-            self.vms[vm].note_departure(key, at(now));
+            self.vms[vm].record_departure(key, at(now));
         }
     }
 
@@ -329,7 +329,7 @@
         assert!(!self.told.contains(&(vm, key)), "sent by a VM that had passed the answer on");
         if self.departed.contains(&key) {
             self.told.insert((vm, key));
-            if self.vms[vm].note_departure(key, at(now)) {
+            if self.vms[vm].record_departure(key, at(now)) {
                 self.spread(vm, key, now, delay);
             }
         }
--- a/crates/decide/tests/endpoint_sample.rs
+++ b/crates/decide/tests/endpoint_sample.rs
@@ -74,7 +74,7 @@
     let mut table = table(engines);
     let salt = short_digest(&salt_text("shared", "m", 1));
     for number in [1, 6, 11] {
-        table.note_parts(EndpointKey::of(&format!("i-{number}")), &parts[..1], salt);
+        table.record_segments(EndpointKey::of(&format!("i-{number}")), &parts[..1], salt);
     }
     let mut counts = BTreeMap::new();
     for _ in 0..200 {
--- a/crates/decide/tests/engine_starts.rs
+++ b/crates/decide/tests/engine_starts.rs
@@ -116,7 +116,7 @@
     table.apply_peer_loads(LoadSource::Vm(VmKey::of("a")), &[(key(1_000), load)], at(21));
     table.raise_weights(key(1_000), spanfold_decide::short_digest("m"), 9, true, at(22));
     table.cordon_as_reported(key(1_000), at(900), true);
-    table.note_parts(key(1_000), &PARTS, 7);
+    table.record_segments(key(1_000), &PARTS, 7);
     table.learn(key(1_000), SendOutcome::Broken, at(23));
     let row = table.row(key(2_000)).unwrap();
     assert!(takes_work(&table, key(2_000), 24) && !row.is_closing(at(24)));
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -251,7 +251,7 @@
 fn an_engine_that_keeps_the_prompt_is_worth_some_waiting() {
     let mut table = two();
     let salt = spanfold_decide::short_digest("shared.m.1");
-    table.note_parts(key("i-2"), &PARTS[..2], salt);
+    table.record_segments(key("i-2"), &PARTS[..2], salt);
     table.take(key("i-2"), load(3_000, 3_000), &[], 0);
     let choice = chosen(&table, &ask());
     assert_eq!((choice.key, choice.kept.kept_tokens), (key("i-2"), 7_500));
--- a/crates/decide/tests/request_quarantine.rs
+++ b/crates/decide/tests/request_quarantine.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
     EndingReport, EndpointEnding, EndpointKey, HeldBook, HoldPhase, IdentityKey, QuarantineChange,
-    QuarantineNote, RequestIdentity, RequestKey, RequestQuarantine,
+    QuarantineMessage, RequestIdentity, RequestKey, RequestQuarantine,
 };
 use spanfold_entity::Moment;
 
@@ -67,7 +67,7 @@
     three_ends(&mut quarantine, 10, begun);
     let over = Moment(begun.0 + SETTLE + HOLD);
     quarantine.sweep(over);
-    assert!(quarantine.note_answered(request(1), over));
+    assert!(quarantine.record_answered(request(1), over));
     assert!(quarantine.is_idle());
     let later = Moment(over.0 + SECOND);
     quarantine.take_report(&report(1, 20, later), later);
@@ -87,13 +87,14 @@
 #[test]
 fn a_hold_told_again_never_lasts_longer() {
     let mut quarantine = RequestQuarantine::default();
-    let held = |rest_micros| QuarantineNote::Held { request: request(1), round: 1, endings: 3, rest_micros };
-    assert!(quarantine.take_note(&held(100 * SECOND), Moment(0)).0);
-    assert!(!quarantine.take_note(&held(100 * SECOND), Moment(50 * SECOND)).0);
+    let held =
+        |rest_micros| QuarantineMessage::Held { request: request(1), round: 1, endings: 3, rest_micros };
+    assert!(quarantine.apply_quarantine_message(&held(100 * SECOND), Moment(0)).0);
+    assert!(!quarantine.apply_quarantine_message(&held(100 * SECOND), Moment(50 * SECOND)).0);
     assert!(!is_held(&quarantine, 1, Moment(100 * SECOND)));
     // A VM whose clock stood still, or the store, tells of it after it is over.
     quarantine.sweep(Moment(100 * SECOND));
-    quarantine.take_note(&held(60 * SECOND), Moment(101 * SECOND));
+    quarantine.apply_quarantine_message(&held(60 * SECOND), Moment(101 * SECOND));
     assert_eq!(quarantine.take_stored(request(1), (1, 3), Moment(101 * SECOND)), Vec::new());
     assert!(!is_held(&quarantine, 1, Moment(102 * SECOND)));
 }
@@ -101,8 +102,8 @@
 #[test]
 fn no_told_time_exceeds_a_holds_own() {
     let mut quarantine = RequestQuarantine::default();
-    let note = QuarantineNote::Held { request: request(1), round: 1, endings: 3, rest_micros: u64::MAX };
-    quarantine.take_note(&note, Moment(0));
+    let note = QuarantineMessage::Held { request: request(1), round: 1, endings: 3, rest_micros: u64::MAX };
+    quarantine.apply_quarantine_message(&note, Moment(0));
     assert!(is_held(&quarantine, 1, Moment(HOLD - 1)) && !is_held(&quarantine, 1, Moment(HOLD)));
 }
 
@@ -113,8 +114,8 @@
         let now = Moment(at.0 + second * SECOND);
         for note in from.repeat_messages(0, now) {
             if random.random() {
-                to.take_note(&note, now);
-                to.take_note(&note, Moment(now.0 + SECOND / 2));
+                to.apply_quarantine_message(&note, now);
+                to.apply_quarantine_message(&note, Moment(now.0 + SECOND / 2));
             }
         }
         to.judge_due(Moment(now.0 + SECOND));
@@ -156,8 +157,9 @@
     let lifted = Moment(begun.0 + 40 * SECOND);
     assert_eq!(one.lift(request(1), lifted), Some(1));
     assert_eq!(one.lift(request(1), lifted), None);
-    let note = QuarantineNote::Held { request: request(1), round: 1, endings: 3, rest_micros: 60 * SECOND };
-    one.take_note(&note, lifted);
+    let note =
+        QuarantineMessage::Held { request: request(1), round: 1, endings: 3, rest_micros: 60 * SECOND };
+    one.apply_quarantine_message(&note, lifted);
     one.take_stored(request(1), (1, 3), lifted);
     assert!(!is_held(&one, 1, lifted));
     repeat_messages(&mut one, &mut other, lifted, 8);
@@ -205,11 +207,11 @@
     let begun = Moment(begun.0 + SETTLE);
     let (due, row) = quarantine.due_write(begun).unwrap();
     assert_eq!(due, request(1));
-    quarantine.note_written(due, &row, Moment::NEVER);
+    quarantine.record_written(due, &row, Moment::NEVER);
     assert_eq!(quarantine.due_write(Moment(begun.0 + SECOND)), None);
     let mut other = RequestQuarantine::default();
-    let note = QuarantineNote::Held { request: request(1), round: 1, endings: 3, rest_micros: HOLD };
-    other.take_note(&note, begun);
+    let note = QuarantineMessage::Held { request: request(1), round: 1, endings: 3, rest_micros: HOLD };
+    other.apply_quarantine_message(&note, begun);
     assert_eq!(other.due_write(begun), None);
     assert!(other.due_write(Moment(begun.0 + 2 * SECOND)).is_some());
     other.take_stored(request(1), (1, 3), Moment(begun.0 + 2 * SECOND));
@@ -225,11 +227,11 @@
     let (due, row) = quarantine.due_write(at).unwrap();
     quarantine.lift(due, at);
     // The write is done, and the store tells of it.
-    quarantine.note_written(due, &row, Moment::NEVER);
+    quarantine.record_written(due, &row, Moment::NEVER);
     quarantine.take_stored(due, (row.round, row.endings), at);
     let (due, row) = quarantine.due_write(at).unwrap();
     assert_eq!((due, row.phase), (request(1), HoldPhase::Lifted));
-    quarantine.note_written(due, &row, Moment::NEVER);
+    quarantine.record_written(due, &row, Moment::NEVER);
     assert_eq!(quarantine.due_write(Moment(at.0 + SECOND)), None);
 }
 
--- a/crates/decide/tests/share_queue.rs
+++ b/crates/decide/tests/share_queue.rs
@@ -50,7 +50,7 @@
 #[test]
 fn the_highest_rank_goes_first_then_the_account_served_least_then_the_first_to_come() {
     let mut queue = ShareQueue::default();
-    queue.note_served(SERVICE, &order(1, 1, "busy", 0), at(0));
+    queue.record_served(SERVICE, &order(1, 1, "busy", 0), at(0));
     for (number, rank, account) in [(2, 1, "busy"), (3, 1, "quiet"), (4, 1, "quiet"), (5, 0, "busy")] {
         let verdict =
             queue.admit(SERVICE, &order(number, rank, account, number), &outlook(100.0, 50), at(10));
@@ -64,7 +64,7 @@
             queue.is_turn(SERVICE, &order(*number, *rank, account, *number), now)
         });
         let (number, rank, account) = left.remove(place.expect("one of them has its turn"));
-        queue.note_served(SERVICE, &order(number, rank, account, number), now);
+        queue.record_served(SERVICE, &order(number, rank, account, number), now);
         turns.push(number);
     }
     // The quiet account's second one is behind nobody: the busy one has been served twice by then.
@@ -136,7 +136,7 @@
         waiting.retain(|(account, order)| {
             let tally = tallies.entry(account).or_default();
             if now >= next_at && queue.is_turn(SERVICE, order, now) {
-                queue.note_served(SERVICE, order, now);
+                queue.record_served(SERVICE, order, now);
                 next_at = now.after_micros((1e6 / per_s) as u64);
                 tally.served += 1;
                 return false;
--- a/crates/gateway/src/endpoints/answer_handler.rs
+++ b/crates/gateway/src/endpoints/answer_handler.rs
@@ -129,7 +129,7 @@
     fn observe_coldness(&self, source: &AnswerSource<'_>, facts: &AnswerFacts) {
         let Some(cold_ms) = facts.cold_millis.value() else { return };
         let mut table = self.table();
-        if !table.note_cold(source.key, cold_ms, self.now()) {
+        if !table.record_cold(source.key, cold_ms, self.now()) {
             return;
         }
         let endpoint = table.row(source.key).map_or("", |row| row.entry.id.as_str());
@@ -139,7 +139,7 @@
     /// Applies the version of a model's weights that an answer or an event told.
     pub(crate) fn observe_weights(&self, source: &AnswerSource<'_>, model: &str, version: u64) {
         let mut table = self.table();
-        if !table.note_weights(source.key, model, version, self.now()) {
+        if !table.record_weights(source.key, model, version, self.now()) {
             return;
         }
         let endpoint = table.row(source.key).map_or("", |row| row.entry.id.as_str());
@@ -172,7 +172,7 @@
     fn observe_departure(&self, source: &AnswerSource<'_>, facts: &AnswerFacts) {
         let leaves = matches!(facts.leaving, HeaderField::Invalid(_)) || facts.leaving.value() == Some(true);
         if leaves {
-            self.note_departure(source, DepartureSource::Answer);
+            self.record_departure(source, DepartureSource::Answer);
         }
     }
 
@@ -181,7 +181,7 @@
         self.metrics.rests.get_or_create(&KindLabel::new(label)).inc();
         let Some(asked_ms) = facts.rest_millis.value() else { return };
         let mut table = self.table();
-        let (rest_ms, extends) = match table.note_rest(source.key, asked_ms, self.now()) {
+        let (rest_ms, extends) = match table.record_backoff(source.key, asked_ms, self.now()) {
             RestChange::None => return,
             RestChange::Begun(millis) => (millis, false),
             RestChange::Extended(millis) => (millis, true),
@@ -194,10 +194,10 @@
     }
 
     /// Notes that an endpoint leaves, and forwards it if that is new.
-    pub(crate) fn note_departure(&self, source: &AnswerSource<'_>, origin: DepartureSource) -> bool {
+    pub(crate) fn record_departure(&self, source: &AnswerSource<'_>, origin: DepartureSource) -> bool {
         let now = self.now();
         let mut table = self.table();
-        if !table.note_departure(source.key, now) {
+        if !table.record_departure(source.key, now) {
             return false;
         }
         self.metrics.departures.get_or_create(&KindLabel::new(origin.label())).inc();
@@ -224,7 +224,7 @@
                 }
                 ObservedAnswer::Departure(key) => {
                     let source = AnswerSource { key, request: "", sent_at: now };
-                    let is_new = self.note_departure(&source, DepartureSource::Peer);
+                    let is_new = self.record_departure(&source, DepartureSource::Peer);
                     is_new.then_some(ObservedAnswer::Departure(key))
                 }
             };
@@ -274,7 +274,7 @@
         ];
         let mut table = self.table();
         for (field, cause) in causes {
-            if !table.note_odd_header(source.key, field, cause.is_some()) {
+            if !table.record_invalid_header(source.key, field, cause.is_some()) {
                 continue;
             }
             let (Some(cause), Some(row)) = (cause, table.row(source.key)) else { continue };
--- a/crates/gateway/src/endpoints/end_watch.rs
+++ b/crates/gateway/src/endpoints/end_watch.rs
@@ -115,7 +115,7 @@
     }
 
     /// Takes that an endpoint has ended, as `sign` shows: what it had is evidence.
-    pub(crate) fn note_ended(&self, endpoint: EndpointKey, sign: &'static str) {
+    pub(crate) fn record_ended(&self, endpoint: EndpointKey, sign: &'static str) {
         let Some(end) = self.ends.take(endpoint, self.now()) else { return };
         log::warn!(endpoint = end.endpoint.id.as_str(), sends = end.sends.len(), sign; "endpoint.ended");
         for send in &end.sends {
@@ -128,7 +128,7 @@
     /// Takes that an endpoint, not `started`, stood at an address where `started` begins now.
     pub(crate) fn note_started_at(&self, address: SocketAddr, started: EndpointKey) {
         for endpoint in self.ends.at(address).into_iter().filter(|endpoint| *endpoint != started) {
-            self.note_ended(endpoint, "another one has its address");
+            self.record_ended(endpoint, "another one has its address");
         }
     }
 }
@@ -138,7 +138,7 @@
         tokio::time::sleep(pause).await;
         let asked = open_stream(address).await;
         if asked.is_err_and(|error| error.kind() == io::ErrorKind::ConnectionRefused) {
-            gateway.note_ended(endpoint, "it refuses connections");
+            gateway.record_ended(endpoint, "it refuses connections");
             return;
         }
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -18,7 +18,7 @@
 use crate::store::store_era::StoreEra;
 use crate::{
     BudgetTerms, EndpointRow, FleetTable, IdentityKey, ListStanding, NamedVersion, NamedWeights,
-    PlacementAsk, PlacementChoice, QuarantineNote, RetryBudget, RolloutBook, RouteTable, SendReport,
+    PlacementAsk, PlacementChoice, QuarantineMessage, RetryBudget, RolloutBook, RouteTable, SendReport,
     StorePosition, VmEntry, VmKey, WantedWeights, WeightTarget, WireDialect, place, short_digest,
 };
 use spanfold_declare::GatewaySettings;
@@ -109,11 +109,11 @@
     /// Wakes the task that writes holds into the store.
     pub holds_changed: Notify,
     /// What the VMs of this data centre have not been told of such requests.
-    pub near_cases: WaitingNotes<QuarantineNote>,
+    pub near_cases: WaitingNotes<QuarantineMessage>,
     /// The same for other data centres.
-    pub far_cases: WaitingNotes<QuarantineNote>,
+    pub far_cases: WaitingNotes<QuarantineMessage>,
     /// The same of other data centres, while this VM leads.
-    pub passed_cases: WaitingNotes<QuarantineNote>,
+    pub passed_cases: WaitingNotes<QuarantineMessage>,
     /// Sends that broke, until it is known whether their endpoints ended.
     pub ends: EndWatch,
     /// Copies of all endpoints that this VM hands out.
@@ -293,7 +293,7 @@
     }
 
     /// Notes how a send went, so that peers are told if it matters to them.
-    pub(crate) fn note_send(&self, report: SendReport) {
+    pub(crate) fn record_send(&self, report: SendReport) {
         if self.table().should_propagate(&report, self.now()) {
             let report = (VmKey::of(&self.settings.name), report);
             self.near_reports.push(report);
--- a/crates/gateway/src/orders/order_task.rs
+++ b/crates/gateway/src/orders/order_task.rs
@@ -155,7 +155,7 @@
             self.desk.set_aside(key, version, again);
             return;
         }
-        self.desk.note_reached(key);
+        self.desk.record_reached(key);
         match answer {
             OrderAnswer::Told(OrderOutcome::Accepted) => {}
             OrderAnswer::Told(OrderOutcome::Holds) => {
@@ -251,7 +251,7 @@
             gateway.set_engine_clock(report.clock_millis);
             if report.leaves_millis.is_some_and(|millis| millis <= LEAVES_SOON_MILLIS) {
                 let source = AnswerSource { key, request: call.path.as_str(), sent_at: gateway.now() };
-                gateway.note_departure(&source, DepartureSource::Report);
+                gateway.record_departure(&source, DepartureSource::Report);
             }
             Some(report)
         }
--- a/crates/gateway/src/peers/load_digest.rs
+++ b/crates/gateway/src/peers/load_digest.rs
@@ -12,7 +12,7 @@
 use crate::peers::waiting_notes::NOTES_MOST;
 use crate::{
     EndpointKey, FleetTable, LEADS, LinkMoves, LoadCount, LoadSource, PeerBook, PeerHeartbeat,
-    QuarantineNote, RouteCounts, SumKey, VmKey, short_digest,
+    QuarantineMessage, RouteCounts, SumKey, VmKey, short_digest,
 };
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
@@ -43,7 +43,7 @@
     /// Outcomes of sends that concern other VMs, each with the VM that observed it.
     reports: Vec<TellerReport>,
     /// Requests under which endpoints end.
-    cases: Vec<QuarantineNote>,
+    cases: Vec<QuarantineMessage>,
     /// What endpoints stated of themselves in answers.
     answers: Vec<AnswerNote>,
     /// Answers of both versions of services that move to another one.
@@ -64,7 +64,7 @@
 struct DigestNotes {
     placed: Vec<PlacedNote>,
     reports: Vec<TellerReport>,
-    cases: Vec<QuarantineNote>,
+    cases: Vec<QuarantineMessage>,
     answers: Vec<ObservedAnswer>,
     rollouts: Vec<(SumKey, RouteCounts)>,
 }
--- a/crates/gateway/src/peers/placed_note.rs
+++ b/crates/gateway/src/peers/placed_note.rs
@@ -40,7 +40,7 @@
     /// Tells a table what the placement brings: parts at the engine, and on their way to stores.
     pub(crate) fn apply(&self, table: &mut FleetTable, now: Moment) {
         let parts = self.prompt_parts();
-        table.note_parts(self.key, &parts, self.salt);
+        table.record_segments(self.key, &parts, self.salt);
         for (place, store) in &self.saves {
             if let Some(part) = parts.get(usize::from(*place))
                 && let Some(row) = table.store_mut(*store)
--- a/crates/gateway/src/quarantine/quarantine_desk.rs
+++ b/crates/gateway/src/quarantine/quarantine_desk.rs
@@ -12,7 +12,7 @@
 use crate::operators::gateway_metrics::KindLabel;
 use crate::peers::load_digest::DigestScope;
 use crate::{
-    EndingReport, EndpointEnding, HeldRequest, HoldPhase, QuarantineChange, QuarantineNote, RequestKey,
+    EndingReport, EndpointEnding, HeldRequest, HoldPhase, QuarantineChange, QuarantineMessage, RequestKey,
 };
 use crate::{RequestQuarantine, VmKey};
 use serde::{Deserialize, Serialize};
@@ -83,7 +83,7 @@
         log::warn!(request = send.request_id.as_str(), digest:% = report.request, endpoint,
             age_ms = millis(report.age_micros), endings;
             "quarantine.evidence");
-        let note = QuarantineNote::of_report(report, now);
+        let note = QuarantineMessage::of_report(report, now);
         self.near_cases.push(note);
         self.far_cases.push(note);
         self.loads_changed.notify_one();
@@ -102,9 +102,9 @@
     }
 
     /// Notes that an endpoint ran a request to its end: it is not what endpoints end of.
-    pub(crate) fn note_answered(&self, request: RequestKey) {
-        if self.desk().quarantine.note_answered(request, self.now()) {
-            let note = QuarantineNote::Answered { request, ago_micros: 0 };
+    pub(crate) fn record_answered(&self, request: RequestKey) {
+        if self.desk().quarantine.record_answered(request, self.now()) {
+            let note = QuarantineMessage::Answered { request, ago_micros: 0 };
             self.near_cases.push(note);
             self.far_cases.push(note);
         }
@@ -113,7 +113,7 @@
     /// Takes what the VM `teller` told; what is new goes on to those that it has not told.
     pub(crate) fn take_notes(
         &self,
-        notes: &[QuarantineNote],
+        notes: &[QuarantineMessage],
         scope: DigestScope,
         teller: VmKey,
         is_lead: bool,
@@ -121,11 +121,11 @@
         let now = self.now();
         let is_near = self.peers().is_near(teller);
         for note in notes {
-            let (is_new, changes) = self.desk().quarantine.take_note(note, now);
+            let (is_new, changes) = self.desk().quarantine.apply_quarantine_message(note, now);
             if !is_new {
                 continue;
             }
-            if matches!(note, QuarantineNote::Ended { .. }) {
+            if matches!(note, QuarantineMessage::Ended { .. }) {
                 self.metrics.quarantine_reports.get_or_create(&KindLabel::new("told")).inc();
                 self.evidence_came.notify_one();
             }
@@ -140,7 +140,7 @@
 
     /// Notes that an endpoint's entry went although it had not said that it leaves.
     pub(crate) fn note_lapsed(&self, ending: EndpointEnding) {
-        self.desk().quarantine.note_ending(ending);
+        self.desk().quarantine.record_crash(ending);
     }
 
     /// Takes a hold that stands in the store.
@@ -191,7 +191,7 @@
                 }
                 QuarantineChange::Lifted { request, round } => {
                     log::warn!(digest:% = request, round; "quarantine.lifted");
-                    let note = QuarantineNote::Lifted { request, round };
+                    let note = QuarantineMessage::Lifted { request, round };
                     self.near_cases.push(note);
                     self.far_cases.push(note);
                     ("lifted", request, round)
@@ -214,7 +214,7 @@
         let Some(HeldRequest { endings, until, .. }) = self.desk().quarantine.held(request, now) else {
             return;
         };
-        let note = QuarantineNote::Held { request, round, endings, rest_micros: until.micros_since(now) };
+        let note = QuarantineMessage::Held { request, round, endings, rest_micros: until.micros_since(now) };
         self.near_cases.push(note);
         self.far_cases.push(note);
     }
--- a/crates/gateway/src/quarantine/quarantine_task.rs
+++ b/crates/gateway/src/quarantine/quarantine_task.rs
@@ -83,7 +83,7 @@
                 HoldPhase::Lifted => self.remove(request).await,
             };
             let again = if is_done { Moment::NEVER } else { self.gateway.now().after_millis(RETRY_MILLIS) };
-            self.gateway.desk().quarantine.note_written(request, &row, again);
+            self.gateway.desk().quarantine.record_written(request, &row, again);
         }
     }
 
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -227,7 +227,7 @@
                 return Some(PlaceResult::WaitForShare(gateway.now()));
             }
             if takes_few {
-                gateway.shares.queue().note_served(&ticket.service, &self.queue_order, gateway.now());
+                gateway.shares.queue().record_served(&ticket.service, &self.queue_order, gateway.now());
             }
             table.take(choice.key, choice.load, &ticket.parts, choice.salt);
             let row = table.row(choice.key)?;
--- a/crates/gateway/src/requests/flight.rs
+++ b/crates/gateway/src/requests/flight.rs
@@ -87,7 +87,7 @@
             send.begin(taken, self.expected_micros);
         }
         let pace = self.learn_pace(taken);
-        self.gateway.note_send(SendReport {
+        self.gateway.record_send(SendReport {
             key: self.key,
             outcome: SendOutcome::Answered,
             pace,
@@ -134,7 +134,7 @@
     pub(crate) fn refused(&self, rest_millis: Option<u64>) {
         let outcome = SendOutcome::Refused;
         self.gateway.table().learn(self.key, outcome, self.gateway.now());
-        self.gateway.note_send(SendReport { key: self.key, outcome, pace: None, rest_millis });
+        self.gateway.record_send(SendReport { key: self.key, outcome, pace: None, rest_millis });
     }
 
     /// Learns from how the send went.
@@ -144,10 +144,10 @@
             self.gateway.observe_version(send, outcome);
         }
         let is_served = matches!(outcome, SendOutcome::Answered | SendOutcome::Failed);
-        if is_served && self.gateway.table().note_served(self.key, self.sent_at) {
+        if is_served && self.gateway.table().record_served(self.key, self.sent_at) {
             log::info!(endpoint = self.endpoint.as_str(); "endpoint.rested");
         }
-        self.gateway.note_send(SendReport { key: self.key, outcome, pace: None, rest_millis: None });
+        self.gateway.record_send(SendReport { key: self.key, outcome, pace: None, rest_millis: None });
     }
 }
 
--- a/crates/gateway/src/requests/long_answer.rs
+++ b/crates/gateway/src/requests/long_answer.rs
@@ -94,7 +94,7 @@
         }
         self.flight.learn(SendOutcome::Answered);
         self.flight.complete();
-        self.run.note_answered();
+        self.run.record_answered();
         Ok("answered")
     }
 }
--- a/crates/gateway/src/requests/relay.rs
+++ b/crates/gateway/src/requests/relay.rs
@@ -175,7 +175,7 @@
     };
     let ReceivedHead { head, mut flight, .. } = received;
     run.note_first();
-    run.note_answered();
+    run.record_answered();
     flight.begin();
     flight.complete();
     if head.status.is_server_error() {
--- a/crates/gateway/src/requests/request_run.rs
+++ b/crates/gateway/src/requests/request_run.rs
@@ -201,12 +201,12 @@
     }
 
     /// Notes that an endpoint ran it to its end.
-    pub(crate) fn note_answered(&mut self) {
+    pub(crate) fn record_answered(&mut self) {
         if self.gateway.desk().quarantine.is_idle() {
             return;
         }
         if let Some(key) = self.request_key() {
-            self.gateway.note_answered(key);
+            self.gateway.record_answered(key);
         }
     }
 
--- a/crates/gateway/src/requests/stream_relay.rs
+++ b/crates/gateway/src/requests/stream_relay.rs
@@ -147,7 +147,7 @@
             }
         }
         self.flight.complete();
-        self.run.note_answered();
+        self.run.record_answered();
         self.run.end("answered");
     }
 
--- a/crates/gateway/src/rollout/rollout_task.rs
+++ b/crates/gateway/src/rollout/rollout_task.rs
@@ -129,7 +129,7 @@
                 log::warn!(service = record.service.as_str(), target = record.target.as_str(),
                     phase = record.phase.label(), reason, position:%; "rollout.decided");
                 self.gateway.rollouts().records_at.insert(record.service.clone(), position);
-                self.gateway.rollouts().note_status(&record.service, &status, position);
+                self.gateway.rollouts().record_status(&record.service, &status, position);
                 self.gateway.apply_rollout(record);
                 true
             }
@@ -150,7 +150,7 @@
         }
         let mut book = self.gateway.rollouts();
         match find(status_key) {
-            Some(item) => book.note_status(service, &item.value, item.position),
+            Some(item) => book.record_status(service, &item.value, item.position),
             None => drop(book.statuses.remove(service)),
         }
     }
--- a/crates/gateway/src/store/store_view.rs
+++ b/crates/gateway/src/store/store_view.rs
@@ -211,7 +211,7 @@
         } else if item.key.starts_with(RECORD_PREFIX) {
             self.gateway.record_rollout(item);
         } else if let Some(service) = item.key.strip_prefix(keys.rollout_statuses) {
-            self.gateway.rollouts().note_status(service, &item.value, item.position);
+            self.gateway.rollouts().record_status(service, &item.value, item.position);
         } else if item.key.starts_with(VM_PREFIX) {
             match serde_json::from_slice::<VmEntry>(&item.value) {
                 Ok(entry) => self.gateway.peers().list_at(entry, self.gateway.now()),
@@ -345,7 +345,7 @@
         };
         if let Some(ending) = ending {
             self.gateway.note_lapsed(ending);
-            self.gateway.note_ended(key, "its entry is gone");
+            self.gateway.record_ended(key, "its entry is gone");
         }
     }
 
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -33,21 +33,21 @@
         match event {
             Event::Listed { vms } => {
                 take_list(context, vms);
-                self.note_change(context);
+                self.record_change(context);
                 // A VM that was just listed should not wait a second to be known.
                 self.next_beat = self.next_beat.min(context.now);
             }
             Event::Receive { from, message: Message::Beat(beat) } => {
                 take_beat(context, from, beat);
-                self.note_change(context);
+                self.record_change(context);
             }
             Event::Stop => {
                 context.world.stopping = true;
                 self.send_beats(context);
-                self.note_change(context);
+                self.record_change(context);
             }
             Event::Tick => {
-                self.note_change(context);
+                self.record_change(context);
                 if context.now >= self.next_beat {
                     self.send_beats(context);
                 }
@@ -56,7 +56,7 @@
         }
     }
 
-    fn note_change(&mut self, context: &mut Context<'_>) {
+    fn record_change(&mut self, context: &mut Context<'_>) {
         let world = &*context.world;
         let live: Vec<String> = world
             .vms
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -200,18 +200,18 @@
     shelf.generation += 1;
     let generation = shelf.generation;
     shelf.blocks.insert(key.to_owned(), StoredBlock { body, digest, generation });
-    note_change(&mut shelf, key, true);
+    record_change(&mut shelf, key, true);
     reply(201, "")
 }
 
 fn free(shelf: &mut Shelf, key: &str) {
     if shelf.blocks.remove(key).is_some() {
         shelf.generation += 1;
-        note_change(shelf, key, false);
+        record_change(shelf, key, false);
     }
 }
 
-fn note_change(shelf: &mut Shelf, key: &str, stored: bool) {
+fn record_change(shelf: &mut Shelf, key: &str, stored: bool) {
     let generation = shelf.generation;
     shelf.changes.push_back((generation, key.to_owned(), stored));
     if shelf.changes.len() > CHANGE_MEMORY {
