--- a/crates/decide/src/fleet/peer_book.rs
+++ b/crates/decide/src/fleet/peer_table.rs
@@ -109,13 +109,13 @@
 
 /// All other VMs.
 #[derive(Debug)]
-pub struct PeerBook {
+pub struct PeerTable {
     own: VmEntry,
     rows: BTreeMap<VmKey, PeerRow>,
     left: BTreeMap<VmKey, LeftRow>,
 }
 
-impl PeerBook {
+impl PeerTable {
     /// A book without other VMs, for the VM with the entry `own`.
     pub const fn new(own: VmEntry) -> Self {
         Self { own, rows: BTreeMap::new(), left: BTreeMap::new() }
--- a/crates/decide/src/fleet/propagation_plan.rs
+++ b/crates/decide/src/fleet/propagation_plan.rs
@@ -7,7 +7,7 @@
 //! Invariant: VMs that know the same VMs agree on who passes on what to whom. Where they do not, a VM is told twice, or misses the
 //! change and asks for it.
 
-use crate::{PeerBook, VmEntry, VmKey};
+use crate::{PeerTable, VmEntry, VmKey};
 use std::net::SocketAddr;
 
 /// A data centre of fewer other VMs is told directly: one hop more costs more than it saves.
@@ -49,7 +49,7 @@
     SpreadParts { relays: others, parts }
 }
 
-impl PeerBook {
+impl PeerTable {
     /// To whom this VM sends what concerns all VMs of its data centre.
     pub fn propagation_plan(&self) -> PropagationPlan {
         let SpreadParts { relays, parts } = parts(self.own(), self.near_entries().collect());
--- a/crates/decide/src/kept/book_teller.rs
+++ b/crates/decide/src/kept/index_reporter.rs
@@ -13,7 +13,7 @@
 
 /// Where the telling of books stands.
 #[derive(Debug, Default)]
-pub struct BookTeller {
+pub struct IndexReporter {
     /// The store whose changes were told last; the next message goes on behind it.
     last: EndpointKey,
     /// Books that were told, whole or in part.
@@ -29,13 +29,13 @@
     pub is_partial: bool,
 }
 
-impl BookTeller {
+impl IndexReporter {
     /// Takes at most `parts_most` parts from what is to be told; all stores are named if a book is due.
     pub fn next(
         &mut self,
         table: &mut FleetTable,
         parts_most: usize,
-        is_book_due: bool,
+        is_full_index_due: bool,
         now: Moment,
     ) -> ToldBooks {
         let mut stores: Vec<_> =
@@ -52,11 +52,11 @@
             if !changes.parts.is_empty() {
                 self.last = *store;
             }
-            if is_book_due || !changes.parts.is_empty() {
+            if is_full_index_due || !changes.parts.is_empty() {
                 told.rows.push(changes);
             }
         }
-        if is_book_due && !told.rows.is_empty() && left > 0 {
+        if is_full_index_due && !told.rows.is_empty() && left > 0 {
             self.tell_book(table, &mut told, left);
         }
         told
--- a/crates/decide/src/kept/mod.rs
+++ b/crates/decide/src/kept/mod.rs
@@ -1,6 +1,6 @@
 //! What is kept where, and which parts of a prompt move or are saved.
 
-mod book_teller;
+mod index_reporter;
 mod kept_parts;
 mod kept_plan;
 mod kept_row;
@@ -8,7 +8,7 @@
 mod poll_schedule;
 mod store_row;
 
-pub use book_teller::{BookTeller, ToldBooks};
+pub use index_reporter::{IndexReporter, ToldBooks};
 pub use kept_parts::KeptParts;
 pub use kept_plan::KeptPlan;
 pub(crate) use kept_plan::{
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -30,22 +30,22 @@
     AccountRow, CacheUpdate, CloseReporter, ColdSpec, DeploymentConfig, EndpointCopy, EndpointEntry,
     EndpointKey, EndpointRest, EndpointRow, EngineReport, EngineSpec, FleetCounts, FleetSweep, FleetTable,
     HomeRegions, KeptChange, LEADS, LimitChange, LimitReport, LinkMoves, LoadCount, LoadSource, NamedLimit,
-    PIECE_BYTES, PIECES_LIMIT, PeerBook, PeerHeartbeat, PromptPart, PropagationPlan, ReassemblyProgress,
+    PIECE_BYTES, PIECES_LIMIT, PeerHeartbeat, PeerTable, PromptPart, PropagationPlan, ReassemblyProgress,
     RequestLimits, RestChange, RouteKind, RouteRow, RouteTable, SendOutcome, SendReport, ServiceRow,
     ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec, UpdateFragment, UpdateHistory,
     UpdateReassembly, VmEntry, VmKey, WeightTarget, pack, pick_target, short_digest, split_update, unpack,
 };
 pub use kept::{
-    BookTeller, KeptParts, KeptPlan, KeptRow, PollSchedule, StoreRow, ToldBooks, old_parts, salted_key,
+    IndexReporter, KeptParts, KeptPlan, KeptRow, PollSchedule, StoreRow, ToldBooks, old_parts, salted_key,
 };
 pub use quarantine::{
-    CrashLedger, CrashVerdict, ENDINGS_LEAST, EndingReport, EndpointEnding, HeldBook, HeldRequest, HoldPhase,
-    IdentityKey, KeyTextError, QuarantineChange, QuarantineMessage, RequestIdentity, RequestKey,
-    RequestQuarantine,
+    CrashLedger, CrashVerdict, ENDINGS_LEAST, EndingReport, EndpointEnding, HeldRequest, HoldPhase,
+    IdentityKey, KeyTextError, QuarantineChange, QuarantineMessage, QuarantineTable, RequestIdentity,
+    RequestKey, RequestQuarantine,
 };
 pub use rollout::{
-    AnswerCounts, ExposureTerms, RolloutAnswer, RolloutBook, RolloutEvidence, RolloutOrder, RolloutPhase,
-    RolloutReason, RolloutRecord, RolloutRun, RolloutStep, RolloutSums, RouteCounts, StoredStatus, SumKey,
+    AnswerCounts, ExposureTerms, RolloutAnswer, RolloutEvidence, RolloutOrder, RolloutPhase, RolloutReason,
+    RolloutRecord, RolloutRun, RolloutStep, RolloutSums, RolloutTable, RouteCounts, StoredStatus, SumKey,
     TestDraw, VersionSplit, WaitingSums,
 };
 pub use weights::{
--- a/crates/decide/src/quarantine/mod.rs
+++ b/crates/decide/src/quarantine/mod.rs
@@ -2,14 +2,14 @@
 
 mod crash_ledger;
 mod ending;
-mod held_book;
 mod quarantine_message;
+mod quarantine_table;
 mod request_key;
 mod request_quarantine;
 
 pub use crash_ledger::{CrashLedger, CrashVerdict, ENDINGS_LEAST};
 pub use ending::{EndingReport, EndpointEnding};
-pub use held_book::{HeldBook, HeldRequest, HoldPhase};
 pub use quarantine_message::QuarantineMessage;
+pub use quarantine_table::{HeldRequest, HoldPhase, QuarantineTable};
 pub use request_key::{IdentityKey, KeyTextError, RequestIdentity, RequestKey};
 pub use request_quarantine::{QuarantineChange, RequestQuarantine};
--- a/crates/decide/src/quarantine/held_book.rs
+++ b/crates/decide/src/quarantine/quarantine_table.rs
@@ -50,11 +50,11 @@
 
 /// All requests that are or were held back.
 #[derive(Debug, Default)]
-pub struct HeldBook {
+pub struct QuarantineTable {
     rows: BTreeMap<RequestKey, HeldRequest>,
 }
 
-impl HeldBook {
+impl QuarantineTable {
     /// Whether it holds no row at all.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
--- a/crates/decide/src/quarantine/request_quarantine.rs
+++ b/crates/decide/src/quarantine/request_quarantine.rs
@@ -4,8 +4,8 @@
 //! taken over by the others without their having seen any of it.
 
 use crate::{
-    CrashLedger, CrashVerdict, ENDINGS_LEAST, EndingReport, EndpointEnding, HeldBook, HeldRequest, HoldPhase,
-    QuarantineMessage, RequestKey,
+    CrashLedger, CrashVerdict, ENDINGS_LEAST, EndingReport, EndpointEnding, HeldRequest, HoldPhase,
+    QuarantineMessage, QuarantineTable, RequestKey,
 };
 
 use spanfold_entity::Moment;
@@ -54,7 +54,7 @@
 #[derive(Debug, Default)]
 pub struct RequestQuarantine {
     ledger: CrashLedger,
-    book: HeldBook,
+    book: QuarantineTable,
     /// Requests that are to be judged, and when.
     unjudged: BTreeMap<RequestKey, Moment>,
     rhythms: [TellRhythm; AUDIENCES],
--- a/crates/decide/src/rollout/rollout_book.rs
+++ b/crates/decide/src/rollout/rollout_table.rs
@@ -51,7 +51,7 @@
 
 /// All roll-outs.
 #[derive(Clone, Debug, Default)]
-pub struct RolloutBook {
+pub struct RolloutTable {
     runs: BTreeMap<String, RolloutRun>,
     /// Where the record of each service stands in the store.
     pub records_at: BTreeMap<String, StorePosition>,
@@ -61,7 +61,7 @@
     pub sums: WaitingSums,
 }
 
-impl RolloutBook {
+impl RolloutTable {
     /// Whether there is no roll-out.
     pub fn is_empty(&self) -> bool {
         self.runs.is_empty()
--- a/crates/decide/tests/kept.rs
+++ b/crates/decide/tests/kept.rs
@@ -1,8 +1,8 @@
 //! What is kept where: plans, books of stores, and what is freed.
 
 use spanfold_decide::{
-    BookTeller, CacheUpdate, DeploymentConfig, EndpointKey, FleetTable, KeptChange, LoadSource, PollSchedule,
-    ServiceRow, StoreRow, StoreSpec, VmKey, old_parts, short_digest,
+    CacheUpdate, DeploymentConfig, EndpointKey, FleetTable, IndexReporter, KeptChange, LoadSource,
+    PollSchedule, ServiceRow, StoreRow, StoreSpec, VmKey, old_parts, short_digest,
 };
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
@@ -187,7 +187,7 @@
     for (_, row) in to.stores_mut() {
         row.replace(&news(1, Vec::new()), Moment::NEVER);
     }
-    let mut teller = BookTeller::default();
+    let mut teller = IndexReporter::default();
     let mut messages = 0;
     loop {
         let told = teller.next(&mut from, 500, messages % 10 == 0, Moment(0));
@@ -215,7 +215,7 @@
 #[test]
 fn stores_without_changes_are_named_only_when_books_are_due() {
     let mut table = listed_stores();
-    let mut teller = BookTeller::default();
+    let mut teller = IndexReporter::default();
     while teller.next(&mut table, 1_000, false, Moment(0)).is_partial {}
     let (store, row) = table.stores_mut().nth(7).unwrap();
     row.apply(&news(1, vec![change("s", 9_999_999, 5_000)]), Moment::NEVER);
--- a/crates/decide/tests/peer_book.rs
+++ b/crates/decide/tests/peer_table.rs
@@ -1,6 +1,6 @@
 //! Which VMs are there, and which data centres are silent.
 
-use spanfold_decide::{PeerBook, VmEntry, VmKey};
+use spanfold_decide::{PeerTable, VmEntry, VmKey};
 use spanfold_entity::Moment;
 
 fn entry(name: &str, data_centre: &str) -> VmEntry {
@@ -17,8 +17,8 @@
     Moment(0).after_millis(millis)
 }
 
-fn book() -> PeerBook {
-    let mut book = PeerBook::new(entry("vm-1", "dc-a"));
+fn book() -> PeerTable {
+    let mut book = PeerTable::new(entry("vm-1", "dc-a"));
     for (name, data_centre) in [("vm-1", "dc-a"), ("vm-2", "dc-a"), ("vm-3", "dc-b"), ("vm-4", "dc-b")] {
         book.list(entry(name, data_centre));
     }
@@ -73,9 +73,9 @@
 
 /// A book of `vm-a5` with nine VMs in its data centre and nine in another; the ones called 0 and 1 have
 /// wide links.
-fn large_book() -> PeerBook {
+fn large_book() -> PeerTable {
     let link = |row: usize| if row < 2 { 200 } else { 10 };
-    let mut book = PeerBook::new(linked("vm-a5", "dc-a", 10));
+    let mut book = PeerTable::new(linked("vm-a5", "dc-a", 10));
     for row in 0..9 {
         book.list(linked(&format!("vm-a{row}"), "dc-a", link(row)));
         book.list(linked(&format!("vm-b{row}"), "dc-b", link(row)));
@@ -153,8 +153,8 @@
 }
 
 /// A book of `vm-00` of a data centre of so many VMs, with links of 100, listed at once.
-fn large(count: usize) -> PeerBook {
-    let mut book = PeerBook::new(entry("vm-00", "dc-a"));
+fn large(count: usize) -> PeerTable {
+    let mut book = PeerTable::new(entry("vm-00", "dc-a"));
     for row in 1..count {
         book.list_at(entry(&format!("vm-{row:02}"), "dc-a"), at(0));
     }
@@ -167,7 +167,7 @@
     let mut book = large(31);
     assert!(book.relays_near());
     // All were just listed, and none was heard: the first two by name are taken for leads.
-    let leads = |book: &PeerBook, now| book.near_leads(now).len();
+    let leads = |book: &PeerTable, now| book.near_leads(now).len();
     assert_eq!(leads(&book, at(100)), 2);
     // They stay silent: nobody leads until others are heard.
     assert_eq!(leads(&book, at(1_300)), 0);
@@ -177,7 +177,7 @@
 
 #[test]
 fn vms_that_were_just_listed_go_before_this_one_until_they_should_have_been_heard() {
-    let mut book = PeerBook::new(entry("vm-05", "dc-a"));
+    let mut book = PeerTable::new(entry("vm-05", "dc-a"));
     for name in ["vm-03", "vm-04", "vm-06"] {
         book.list_at(entry(name, "dc-a"), at(0));
     }
@@ -217,7 +217,7 @@
         let mut asked = std::collections::BTreeMap::new();
         let mut listing = 0;
         for own in &near {
-            let mut book = PeerBook::new(own.clone());
+            let mut book = PeerTable::new(own.clone());
             for other in &near {
                 book.list(other.clone());
             }
--- a/crates/decide/tests/propagation_plan.rs
+++ b/crates/decide/tests/propagation_plan.rs
@@ -1,6 +1,6 @@
 //! How changes reach all VMs of a data centre, at 9 to 2,000 VMs.
 
-use spanfold_decide::{PeerBook, VmEntry, VmKey};
+use spanfold_decide::{PeerTable, VmEntry, VmKey};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -14,8 +14,8 @@
     }
 }
 
-fn book(own: &VmEntry, all: &[VmEntry]) -> PeerBook {
-    let mut book = PeerBook::new(own.clone());
+fn book(own: &VmEntry, all: &[VmEntry]) -> PeerTable {
+    let mut book = PeerTable::new(own.clone());
     for other in all {
         book.list(other.clone());
     }
--- a/crates/decide/tests/request_quarantine.rs
+++ b/crates/decide/tests/request_quarantine.rs
@@ -3,8 +3,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
-    EndingReport, EndpointEnding, EndpointKey, HeldBook, HoldPhase, IdentityKey, QuarantineChange,
-    QuarantineMessage, RequestIdentity, RequestKey, RequestQuarantine,
+    EndingReport, EndpointEnding, EndpointKey, HoldPhase, IdentityKey, QuarantineChange, QuarantineMessage,
+    QuarantineTable, RequestIdentity, RequestKey, RequestQuarantine,
 };
 use spanfold_entity::Moment;
 
@@ -237,7 +237,7 @@
 
 #[test]
 fn the_book_is_bounded_and_holds_in_force_stay() {
-    let mut book = HeldBook::default();
+    let mut book = QuarantineTable::default();
     for number in 0..512 {
         assert_eq!(book.hold(request(number), 3, Moment(number)), Some(1));
     }
--- a/crates/decide/tests/rollout.rs
+++ b/crates/decide/tests/rollout.rs
@@ -8,8 +8,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
-    ExposureTerms, RateTerms, RolloutAnswer, RolloutBook, RolloutOrder, RolloutPhase, RolloutReason,
-    RolloutRecord, RouteCounts, ShareRight, StorePosition, SumKey, TestDraw, VersionSplit, VmKey,
+    ExposureTerms, RateTerms, RolloutAnswer, RolloutOrder, RolloutPhase, RolloutReason, RolloutRecord,
+    RolloutTable, RouteCounts, ShareRight, StorePosition, SumKey, TestDraw, VersionSplit, VmKey,
 };
 use spanfold_entity::Moment;
 use std::collections::{BTreeSet, VecDeque};
@@ -54,7 +54,7 @@
 
 struct Fleet {
     rng: SmallRng,
-    vms: Vec<RolloutBook>,
+    vms: Vec<RolloutTable>,
     rights: Vec<ShareRight>,
     /// Phases on their way: VM, when they arrive.
     records: VecDeque<(u64, usize, RolloutRecord)>,
@@ -91,8 +91,8 @@
     RolloutOrder { service: "desk".into(), target: "v2".into(), duration_millis: Some(DURATION) }
 }
 
-fn new_book(now: u64) -> RolloutBook {
-    let mut book = RolloutBook::default();
+fn new_book(now: u64) -> RolloutTable {
+    let mut book = RolloutTable::default();
     book.order(order(), position(5), at(now));
     book.run_mut("desk").unwrap().has_others = true;
     book
@@ -364,7 +364,7 @@
     let splits = book.splits("desk", &TERMS, &mut draw, |_, _| Some(u64::MAX), |_, _| 20);
     assert_eq!(splits, [VersionSplit::Except("v2".into())]);
     // Known from its record alone, as at a VM that starts after the order was taken back.
-    let mut other = RolloutBook::default();
+    let mut other = RolloutTable::default();
     assert!(other.apply(&record(RolloutPhase::RolledBack), at(0)));
     assert_eq!(other.run("desk").unwrap().phase, RolloutPhase::RolledBack);
 }
--- a/crates/decide/tests/shared_fleet/mod.rs
+++ b/crates/decide/tests/shared_fleet/mod.rs
@@ -3,7 +3,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
-    EndpointKey, ListStanding, PeerBook, RateTerms, RecentSends, ShareRight, VmEntry, VmKey,
+    EndpointKey, ListStanding, PeerTable, RateTerms, RecentSends, ShareRight, VmEntry, VmKey,
 };
 use spanfold_entity::Moment;
 use std::collections::VecDeque;
@@ -52,7 +52,7 @@
     pub right: ShareRight,
     /// Its part, as of its last news.
     pub part: u64,
-    book: PeerBook,
+    book: PeerTable,
     /// Whether it knows each VM's entry, by the VM's number.
     known: Vec<bool>,
     sends: RecentSends,
@@ -73,7 +73,7 @@
             standing: ListStanding::default(),
             right: ShareRight::alone(own, &entry.data_centre),
             part: 0,
-            book: PeerBook::new(entry.clone()),
+            book: PeerTable::new(entry.clone()),
             known: Vec::new(),
             sends: RecentSends::default(),
             rank,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,6 +1,6 @@
 //! What the tasks of one gateway share.
 
-use crate::PeerBook;
+use crate::PeerTable;
 use crate::clock::GatewayClock;
 use crate::endpoints::answer_handler::ObservedAnswer;
 use crate::endpoints::end_watch::EndWatch;
@@ -18,7 +18,7 @@
 use crate::store::store_era::StoreEra;
 use crate::{
     BudgetTerms, EndpointRow, FleetTable, IdentityKey, ListStanding, NamedVersion, NamedWeights,
-    PlacementAsk, PlacementChoice, QuarantineMessage, RetryBudget, RolloutBook, RouteTable, SendReport,
+    PlacementAsk, PlacementChoice, QuarantineMessage, RetryBudget, RolloutTable, RouteTable, SendReport,
     StorePosition, VmEntry, VmKey, WantedWeights, WeightTarget, WireDialect, place, short_digest,
 };
 use spanfold_declare::GatewaySettings;
@@ -65,7 +65,7 @@
     /// What was named for each model, by the digest of its name: other VMs tell of models too that this one
     /// has not read of in the store.
     weights: RwLock<BTreeMap<u64, NamedWeights>>,
-    peers: Mutex<PeerBook>,
+    peers: Mutex<PeerTable>,
     /// The engines' clock in milliseconds, and when it was told.
     engine_clock: Mutex<Option<(u64, Moment)>>,
     pub pool: EndpointPool,
@@ -97,7 +97,7 @@
     /// Which news of others this VM has passed on.
     pub relayed: RelayedNews,
     /// Moves of services to other versions.
-    pub rollouts: Mutex<RolloutBook>,
+    pub rollouts: Mutex<RolloutTable>,
     /// What endpoints stated in answers that the VMs of this data centre have not received.
     pub near_answers: WaitingNotes<ObservedAnswer>,
     /// The same for other data centres.
@@ -146,7 +146,7 @@
         };
         let memory = MemoryDesk::new(settings.memory_mb);
         let incarnation = rand::random::<u64>() | 1;
-        let peers = PeerBook::new(VmEntry {
+        let peers = PeerTable::new(VmEntry {
             name: settings.name.clone(),
             address: settings.peers,
             data_centre: settings.data_centre.clone(),
@@ -259,7 +259,7 @@
     }
 
     /// The other VMs. Never held across a wait.
-    pub(crate) fn peers(&self) -> MutexGuard<'_, PeerBook> {
+    pub(crate) fn peers(&self) -> MutexGuard<'_, PeerTable> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/gateway/src/peers/kept_digest.rs
+++ b/crates/gateway/src/peers/kept_digest.rs
@@ -8,7 +8,7 @@
 use crate::gateway::Gateway;
 use crate::peers::gossip;
 use crate::peers::peer_message::PeerMessage;
-use crate::{BookTeller, KeptRow};
+use crate::{IndexReporter, KeptRow};
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
 use std::net::SocketAddr;
@@ -44,13 +44,13 @@
     /// What is told next, with at most `parts_most` parts; and whether more is left to be told.
     fn take(
         gateway: &Gateway,
-        teller: &mut BookTeller,
+        teller: &mut IndexReporter,
         parts_most: usize,
-        is_book_due: bool,
+        is_full_index_due: bool,
     ) -> (Self, bool) {
         let now = gateway.now();
         let clock_millis = gateway.engine_clock_at(now);
-        let told = teller.next(&mut gateway.table(), parts_most, is_book_due, now);
+        let told = teller.next(&mut gateway.table(), parts_most, is_full_index_due, now);
         (Self { clock_millis, rows: told.rows }, told.is_partial)
     }
 
@@ -95,7 +95,7 @@
 
 /// Tells the other VMs of the data centre what this one hears from the stores, until the process ends.
 pub(crate) async fn tell_kept(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
-    let mut teller = BookTeller::default();
+    let mut teller = IndexReporter::default();
     let mut book_at = Instant::now();
     let mut is_partial = false;
     loop {
@@ -104,8 +104,8 @@
             () = tokio::time::sleep(GATHER_PAUSE), if is_partial => {}
             () = tokio::time::sleep_until(book_at) => {}
         }
-        let is_book_due = Instant::now() >= book_at;
-        if is_book_due {
+        let is_full_index_due = Instant::now() >= book_at;
+        if is_full_index_due {
             book_at = Instant::now() + REST;
         }
         let targets = told_to(&gateway);
@@ -115,7 +115,7 @@
         }
         let parts = parts_most(targets.len(), gateway.settings.link_mbps);
         let digest;
-        (digest, is_partial) = KeptDigest::take(&gateway, &mut teller, parts, is_book_due);
+        (digest, is_partial) = KeptDigest::take(&gateway, &mut teller, parts, is_full_index_due);
         let message = PeerMessage::Kept(gateway.next_stamp(), digest);
         gossip::tell(&gateway, &socket, &message, &targets).await;
     }
--- a/crates/gateway/src/peers/load_digest.rs
+++ b/crates/gateway/src/peers/load_digest.rs
@@ -11,7 +11,7 @@
 use crate::peers::placed_note::PlacedNote;
 use crate::peers::waiting_notes::NOTES_MOST;
 use crate::{
-    EndpointKey, FleetTable, LEADS, LinkMoves, LoadCount, LoadSource, PeerBook, PeerHeartbeat,
+    EndpointKey, FleetTable, LEADS, LinkMoves, LoadCount, LoadSource, PeerHeartbeat, PeerTable,
     QuarantineMessage, RouteCounts, SumKey, VmKey, short_digest,
 };
 use serde::{Deserialize, Serialize};
@@ -173,7 +173,7 @@
     }
 
     /// Notes that its VM is heard; false if it is older than what that one told before, or the VM is unknown.
-    pub(crate) fn is_heard(&self, peers: &mut PeerBook, stamp: PeerStamp, now: Moment) -> bool {
+    pub(crate) fn is_heard(&self, peers: &mut PeerTable, stamp: PeerStamp, now: Moment) -> bool {
         let PeerStamp { vm, incarnation, sequence } = stamp;
         if self.scope == DigestScope::Elsewhere {
             peers.record_relayed_digest(vm, incarnation, sequence, now)
--- a/crates/gateway/src/rollout/rollout_desk.rs
+++ b/crates/gateway/src/rollout/rollout_desk.rs
@@ -7,7 +7,7 @@
 use crate::gateway::Gateway;
 use crate::operators::gateway_metrics::KindLabel;
 use crate::{
-    EndpointEntry, ExposureTerms, RolloutBook, RolloutPhase, RolloutRecord, RouteCounts, SendOutcome,
+    EndpointEntry, ExposureTerms, RolloutPhase, RolloutRecord, RolloutTable, RouteCounts, SendOutcome,
     StoreItem, SumKey, TestDraw, VersionSplit,
 };
 use std::sync::{MutexGuard, PoisonError};
@@ -18,7 +18,7 @@
 
 impl Gateway {
     /// All roll-outs. Never held across a wait.
-    pub(crate) fn rollouts(&self) -> MutexGuard<'_, RolloutBook> {
+    pub(crate) fn rollouts(&self) -> MutexGuard<'_, RolloutTable> {
         self.rollouts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
