--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -49,6 +49,6 @@
     TestDraw, VersionSplit, WaitingSums,
 };
 pub use weights::{
-    DeskStep, EngineState, HolderRecord, HolderStanding, NamedVersion, NamedWeights, NamingRecord,
-    NamingTime, WantedWeights, WeightDesk,
+    EngineState, HolderRecord, HolderStanding, NamedVersion, NamedWeights, NamingRecord, NamingTime,
+    WantedWeights, WeightScheduler, WeightStep,
 };
--- a/crates/decide/src/weights/mod.rs
+++ b/crates/decide/src/weights/mod.rs
@@ -3,9 +3,9 @@
 mod named_weights;
 mod naming_record;
 mod wanted_weights;
-mod weight_desk;
+mod weight_scheduler;
 
 pub use named_weights::{NamedVersion, NamedWeights};
 pub use naming_record::{NamingRecord, NamingTime};
 pub use wanted_weights::WantedWeights;
-pub use weight_desk::{DeskStep, EngineState, HolderRecord, HolderStanding, WeightDesk};
+pub use weight_scheduler::{EngineState, HolderRecord, HolderStanding, WeightScheduler, WeightStep};
--- a/crates/decide/src/weights/weight_desk.rs
+++ b/crates/decide/src/weights/weight_scheduler.rs
@@ -105,7 +105,7 @@
 
 /// What to do with an engine now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DeskStep {
+pub enum WeightStep {
     /// Give it no new work: an order follows.
     Close(EndpointKey),
     /// Order it to load the version.
@@ -122,7 +122,7 @@
 
 /// The loads that are under way.
 #[derive(Debug)]
-pub struct WeightDesk {
+pub struct WeightScheduler {
     loads: BTreeMap<EndpointKey, (u64, LoadStage)>,
     /// Engines that were not reached: no order before then, and others go first.
     unreached: BTreeMap<EndpointKey, Moment>,
@@ -132,7 +132,7 @@
     version_millis: u64,
 }
 
-impl WeightDesk {
+impl WeightScheduler {
     /// A desk without loads, where old weights are overdue `version_millis` after newer ones were named.
     pub const fn new(version_millis: u64) -> Self {
         Self {
@@ -155,7 +155,7 @@
     /// let steps = WeightDesk::new(10_000).steps(&[engine], Moment(0));
     /// assert_eq!(steps, [DeskStep::Close(EndpointKey(1))]);
     /// ```
-    pub fn steps(&mut self, engines: &[EngineState], now: Moment) -> Vec<DeskStep> {
+    pub fn steps(&mut self, engines: &[EngineState], now: Moment) -> Vec<WeightStep> {
         self.forget_done(engines, now);
         let mut steps = Vec::new();
         let mut loading = self.loading_count(now);
@@ -174,7 +174,7 @@
             };
             if due {
                 *stage = LoadStage::Ordered(now, now.after_millis(REPEAT_MILLIS));
-                steps.push(DeskStep::Order(engine.key, engine.model.clone(), *version));
+                steps.push(WeightStep::Order(engine.key, engine.model.clone(), *version));
             }
         }
         self.close_next(engines, now, &mut steps);
@@ -222,7 +222,7 @@
     }
 
     /// Closes engines whose turn comes next: those with the oldest weights and the least work.
-    fn close_next(&mut self, engines: &[EngineState], now: Moment, steps: &mut Vec<DeskStep>) {
+    fn close_next(&mut self, engines: &[EngineState], now: Moment, steps: &mut Vec<WeightStep>) {
         let most = ((engines.len() as f64 * CLOSED_PART) as usize).max(1);
         let mut waiting: Vec<_> = engines
             .iter()
@@ -234,7 +234,7 @@
         let free = most.saturating_sub(self.loads.len());
         for engine in waiting.into_iter().take(free) {
             self.loads.insert(engine.key, (engine.target, LoadStage::Closing(now)));
-            steps.push(DeskStep::Close(engine.key));
+            steps.push(WeightStep::Close(engine.key));
         }
     }
 
--- a/crates/decide/tests/weight_desk.rs
+++ b/crates/decide/tests/weight_scheduler.rs
@@ -1,15 +1,15 @@
 //! The holder's decisions: how many engines load at once, and which come first.
-use spanfold_decide::{DeskStep, EndpointKey, EngineState, HolderRecord, HolderStanding, WeightDesk};
+use spanfold_decide::{EndpointKey, EngineState, HolderRecord, HolderStanding, WeightScheduler, WeightStep};
 use spanfold_entity::Moment;
 
 fn engine(key: u64, version: u64, running: u32) -> EngineState {
     EngineState { key: EndpointKey(key), model: "m".to_owned(), version, target: 3, running }
 }
 
-fn orders(steps: &[DeskStep]) -> Vec<u64> {
+fn orders(steps: &[WeightStep]) -> Vec<u64> {
     let ordered = steps.iter().filter_map(|step| match step {
-        DeskStep::Order(key, _, _) => Some(key.0),
-        DeskStep::Close(_) => None,
+        WeightStep::Order(key, _, _) => Some(key.0),
+        WeightStep::Close(_) => None,
     });
     ordered.collect()
 }
@@ -17,14 +17,14 @@
 #[test]
 fn the_oldest_weights_go_first() {
     let engines: Vec<_> = (0..10).map(|key| engine(key, if key >= 6 { 1 } else { 2 }, 0)).collect();
-    let steps = WeightDesk::new(10_000).steps(&engines, Moment(0));
-    assert_eq!(steps, [6, 7, 8].map(|key| DeskStep::Close(EndpointKey(key))));
+    let steps = WeightScheduler::new(10_000).steps(&engines, Moment(0));
+    assert_eq!(steps, [6, 7, 8].map(|key| WeightStep::Close(EndpointKey(key))));
 }
 
 #[test]
 fn three_load_at_once_and_idle_ones_need_not_wait() {
     let engines: Vec<_> = (0..18).map(|key| engine(key, 1, u32::from(key < 2))).collect();
-    let mut desk = WeightDesk::new(10_000);
+    let mut desk = WeightScheduler::new(10_000);
     assert!(orders(&desk.steps(&engines, Moment(0))).is_empty());
     let ordered = orders(&desk.steps(&engines, Moment(0).after_millis(200)));
     assert_eq!(ordered.len(), 3);
@@ -34,7 +34,7 @@
 #[test]
 fn more_load_at_once_where_three_would_take_too_long() {
     let engines: Vec<_> = (0..60).map(|key| engine(key, 1, 0)).collect();
-    let mut desk = WeightDesk::new(12_000);
+    let mut desk = WeightScheduler::new(12_000);
     desk.steps(&engines, Moment(0));
     assert_eq!(orders(&desk.steps(&engines, Moment(0).after_millis(200))).len(), 9);
 }
@@ -42,7 +42,7 @@
 #[test]
 fn an_engine_with_long_runs_is_ordered_in_the_end() {
     let engines = [engine(1, 1, 5)];
-    let mut desk = WeightDesk::new(10_000);
+    let mut desk = WeightScheduler::new(10_000);
     desk.steps(&engines, Moment(0));
     assert!(orders(&desk.steps(&engines, Moment(0).after_millis(500))).is_empty());
     assert_eq!(orders(&desk.steps(&engines, Moment(0).after_millis(1_000))), [1]);
@@ -50,7 +50,7 @@
 
 #[test]
 fn an_order_without_effect_is_repeated_and_one_with_effect_is_not() {
-    let mut desk = WeightDesk::new(10_000);
+    let mut desk = WeightScheduler::new(10_000);
     desk.steps(&[engine(1, 1, 0)], Moment(0));
     assert_eq!(orders(&desk.steps(&[engine(1, 1, 0)], Moment(0).after_millis(200))), [1]);
     assert!(orders(&desk.steps(&[engine(1, 1, 0)], Moment(0).after_millis(2_000))).is_empty());
@@ -80,7 +80,7 @@
 #[test]
 fn a_late_refusal_of_an_older_order_hurries_no_newer_one() {
     let named = |target: u64| EngineState { target, ..engine(1, 1, 5) };
-    let mut desk = WeightDesk::new(10_000);
+    let mut desk = WeightScheduler::new(10_000);
     desk.steps(&[named(2)], Moment(0));
     assert_eq!(orders(&desk.steps(&[named(2)], Moment(0).after_millis(1_000))), [1]);
     desk.steps(&[named(3)], Moment(0).after_millis(1_100));
@@ -91,8 +91,8 @@
 #[test]
 fn an_engine_that_is_not_reached_leaves_its_place_to_others_and_comes_last() {
     let engines: Vec<_> = (0..4).map(|key| engine(key, 1, 0)).collect();
-    let closed = |key| DeskStep::Close(EndpointKey(key));
-    let mut desk = WeightDesk::new(10_000);
+    let closed = |key| WeightStep::Close(EndpointKey(key));
+    let mut desk = WeightScheduler::new(10_000);
     assert_eq!(desk.steps(&engines, Moment(0)), [closed(0)]);
     let at = |millis| Moment(0).after_millis(millis);
     assert_eq!(orders(&desk.steps(&engines, at(200))), [0]);
--- a/crates/gateway/src/orders/order_task.rs
+++ b/crates/gateway/src/orders/order_task.rs
@@ -9,8 +9,8 @@
 use crate::operators::gateway_metrics::KindLabel;
 use crate::store::call_link::CallLink;
 use crate::store::lease_keeper::OrderRight;
-use crate::{DeskStep, EngineState, WeightDesk};
 use crate::{EndpointKey, EngineReport, short_digest};
+use crate::{EngineState, WeightScheduler, WeightStep};
 use hyper::StatusCode;
 use spanfold_entity::Moment;
 use std::collections::{BTreeMap, HashSet};
@@ -86,7 +86,7 @@
 
 /// The loads of one holder, with the calls that are under way for them. Dropping it cuts them.
 struct OrderWork {
-    desk: WeightDesk,
+    desk: WeightScheduler,
     orders: JoinSet<GivenOrder>,
     reports: JoinSet<EndpointKey>,
     /// Engines whose reports are waited for.
@@ -95,7 +95,7 @@
 
 impl OrderWork {
     fn new(gateway: &Gateway) -> Self {
-        let desk = WeightDesk::new(gateway.settings.version_ms);
+        let desk = WeightScheduler::new(gateway.settings.version_ms);
         Self { desk, orders: JoinSet::new(), reports: JoinSet::new(), asked: HashSet::new() }
     }
 
@@ -110,8 +110,8 @@
         self.ask_reports(gateway);
         for step in self.desk.steps(&engine_states(gateway), gateway.now()) {
             match step {
-                DeskStep::Close(key) => close_engines(gateway, &[key]),
-                DeskStep::Order(key, model, version) => {
+                WeightStep::Close(key) => close_engines(gateway, &[key]),
+                WeightStep::Order(key, model, version) => {
                     let (gateway, right) = (Arc::clone(gateway), right.clone());
                     self.orders.spawn(async move {
                         let answer = give_order(&gateway, &right, key, &model, version).await;
--- a/crates/policy/src/entry.rs
+++ b/crates/policy/src/entry.rs
@@ -42,7 +42,7 @@
 
 /// State of the entry plug-in: the requests that this VM has open.
 #[derive(Debug)]
-pub struct EntryDesk {
+pub struct RequestTracker {
     layout: CellLayout,
     generation: u64,
     membership: u64,
@@ -55,7 +55,7 @@
     pub bypassed: u64,
 }
 
-impl EntryDesk {
+impl RequestTracker {
     fn start(_world: &World) -> Self {
         Self {
             layout: CellLayout::default(),
@@ -366,4 +366,4 @@
     )
 }
 
-register_plugin!("entry", 40, EntryDesk);
+register_plugin!("entry", 40, RequestTracker);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -30,7 +30,7 @@
 pub use cell::CellTable;
 pub use claims::ClaimTable;
 pub use configuration::ConfigurationStore;
-pub use entry::EntryDesk;
+pub use entry::RequestTracker;
 pub use fair_queue::FairQueue;
 pub use kept_index::{KeptIndex, KeptPiece};
 pub use layout::{CELL_SIZE, CellLayout};
--- a/crates/spanfoldd/src/control.rs
+++ b/crates/spanfoldd/src/control.rs
@@ -8,7 +8,7 @@
 use kameo::Actor;
 use kameo::message::{Context, Message};
 use spanfold_kernel::{Event, Kernel, SessionLine};
-use spanfold_policy::{CellTable, ClaimTable, ConfigurationStore, EntryDesk};
+use spanfold_policy::{CellTable, ClaimTable, ConfigurationStore, RequestTracker};
 use std::fs::File;
 use std::io::{BufWriter, Write};
 use std::sync::{Arc, PoisonError};
@@ -103,8 +103,8 @@
             "kept_pieces": self.kernel.plugin::<CellTable>("cell").map_or(0, CellTable::kept_count),
             "held_pieces": self.kernel.plugin::<CellTable>("cell").map_or(0, CellTable::held_count),
             "claims": self.kernel.plugin::<ClaimTable>("claims").map_or(0, ClaimTable::row_count),
-            "open_requests": self.kernel.plugin::<EntryDesk>("entry").map_or(0, EntryDesk::open_count),
-            "bypassed": self.kernel.plugin::<EntryDesk>("entry").map_or(0, |desk| desk.bypassed),
+            "open_requests": self.kernel.plugin::<RequestTracker>("entry").map_or(0, RequestTracker::open_count),
+            "bypassed": self.kernel.plugin::<RequestTracker>("entry").map_or(0, |desk| desk.bypassed),
             "configuration_bytes":
                 self.kernel.plugin::<ConfigurationStore>("configuration").map_or(0, ConfigurationStore::chunk_bytes),
         });
