--- a/crates/decide/examples/placement_cost.rs
+++ b/crates/decide/examples/placement_cost.rs
@@ -4,7 +4,7 @@
 
 use spanfold_decide::{
     CacheUpdate, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions,
-    KeptChange, LoadCount, LoadSource, PlacementAsk, PromptPart, ServiceRow, ShareView, StoreSpec,
+    KeptChange, LoadCount, LoadSource, PlacementRequest, PromptPart, ServiceRow, ShareView, StoreSpec,
     VersionSplit, VmKey, place, salt_text,
 };
 use spanfold_entity::Moment;
@@ -79,7 +79,7 @@
         PromptPart { key: 1_000 + thing, tokens: 5_000 },
         PromptPart { key: u64::MAX, tokens: 1_600 },
     ];
-    let ask = PlacementAsk {
+    let ask = PlacementRequest {
         service: "llm",
         data_centre: "dc-0",
         silent: &[],
--- a/crates/decide/src/admit/admission.rs
+++ b/crates/decide/src/admit/admission.rs
@@ -114,7 +114,7 @@
         let first_at = now.after_micros(choice.expected_micros);
         let in_time = first_at <= self.in_time_until();
         let quiet = choice.queue_micros as f64 <= self.objective_millis as f64 * 1_000.0 * QUIET_PART;
-        if choice.over_tokens == 0 && (in_time || quiet) {
+        if choice.excess_tokens == 0 && (in_time || quiet) {
             return AdmissionVerdict::Go;
         }
         let patience = (self.silence_millis as f64 * PATIENCE_PART) as u64;
--- a/crates/decide/src/admit/blocked_counts.rs
+++ b/crates/decide/src/admit/blocked_counts.rs
@@ -1,6 +1,6 @@
 //! Why a request finds no endpoint, in counts of the endpoints that do not take it.
 
-use crate::{FleetTable, PlacementAsk};
+use crate::{FleetTable, PlacementRequest};
 use spanfold_entity::Moment;
 use std::fmt;
 
@@ -52,7 +52,7 @@
 
 impl FleetTable {
     /// Counts why the endpoints of a service do not take a request.
-    pub fn blocked(&self, ask: &PlacementAsk<'_>, now: Moment) -> BlockedCounts {
+    pub fn blocked(&self, ask: &PlacementRequest<'_>, now: Moment) -> BlockedCounts {
         let mut counts = BlockedCounts::default();
         for (key, row) in self.rows_of(ask.service) {
             counts.listed += 1;
--- a/crates/decide/src/admit/endpoint_sample.rs
+++ b/crates/decide/src/admit/endpoint_sample.rs
@@ -8,7 +8,7 @@
 //! Invariant: the share of the requests of a data centre that one endpoint can attract is that of the sample, and the time of a choice
 //! does not grow with the deployment.
 
-use crate::{EndpointKey, FleetTable, PlacementAsk};
+use crate::{EndpointKey, FleetTable, PlacementRequest};
 use spanfold_entity::Moment;
 
 /// Up to so many endpoints of a service all are weighed.
@@ -19,7 +19,11 @@
 const DRAWS_MOST: usize = 1_024;
 
 /// Endpoints of this VM's data centre that a request may go to, drawn at random; none where all are weighed.
-pub(crate) fn sample_endpoints(table: &FleetTable, ask: &PlacementAsk<'_>, now: Moment) -> Vec<EndpointKey> {
+pub(crate) fn sample_endpoints(
+    table: &FleetTable,
+    ask: &PlacementRequest<'_>,
+    now: Moment,
+) -> Vec<EndpointKey> {
     let keys = table.keys_of(ask.service);
     if keys.len() <= ALL_MOST {
         return Vec::new();
--- a/crates/decide/src/admit/mod.rs
+++ b/crates/decide/src/admit/mod.rs
@@ -13,7 +13,7 @@
 pub use blocked_counts::BlockedCounts;
 pub use held_bytes::{HeldBytes, HolderId};
 pub(crate) use placement::candidates;
-pub use placement::{PlacementAsk, PlacementChoice, ShareView, place, salt_text, salt_version};
+pub use placement::{PlacementChoice, PlacementRequest, ShareView, place, salt_text, salt_version};
 pub use retry_budget::{BudgetTerms, RetryBudget};
 pub use share_queue::{QueueOrder, ShareOutlook, ShareQueue, ShareVerdict};
 pub use shared_rate::{ColdTerms, ListStanding, RateTerms, RecentSends, ShareRight};
--- a/crates/decide/src/admit/placement.rs
+++ b/crates/decide/src/admit/placement.rs
@@ -52,7 +52,7 @@
 
 /// What is to be placed.
 #[derive(Clone, Debug)]
-pub struct PlacementAsk<'a> {
+pub struct PlacementRequest<'a> {
     /// The service.
     pub service: &'a str,
     /// This VM's data centre.
@@ -89,7 +89,7 @@
     pub draw: fn() -> f64,
 }
 
-impl PlacementAsk<'_> {
+impl PlacementRequest<'_> {
     /// Whether the request may go to an endpoint, now or when that takes more.
     pub(crate) fn allows(
         &self,
@@ -133,7 +133,7 @@
     /// Expected time to the first event, in microseconds.
     pub expected_micros: u64,
     /// Tokens by which the engine's memory would be filled beyond the part that the request may fill.
-    pub over_tokens: u64,
+    pub excess_tokens: u64,
     /// Time for which prompts that came before are read, in microseconds.
     pub queue_micros: u64,
     /// Weights that the engine is believed to have.
@@ -166,18 +166,18 @@
 /// Chooses an endpoint; none if no endpoint of the service may get work.
 ///
 /// Of many endpoints a sample is weighed; if none of it has room, all are.
-pub fn place(table: &FleetTable, ask: &PlacementAsk<'_>, now: Moment) -> Option<PlacementChoice> {
+pub fn place(table: &FleetTable, ask: &PlacementRequest<'_>, now: Moment) -> Option<PlacementChoice> {
     let sample = sample_endpoints(table, ask, now).into_iter().map(|key| (key, table.row(key)));
     let sample = sample.filter_map(|(key, row)| Some((key, row?))).filter(|(_, row)| is_sound(row, now));
     let sampled = place_among(table, ask, sample.collect(), now);
-    let has_room = |choice: &PlacementChoice| choice.over_tokens == 0;
-    sampled.filter(has_room).or_else(|| place_among(table, ask, candidates(table, ask, now), now))
+    let has_capacity = |choice: &PlacementChoice| choice.excess_tokens == 0;
+    sampled.filter(has_capacity).or_else(|| place_among(table, ask, candidates(table, ask, now), now))
 }
 
 /// Chooses one of some endpoints.
 fn place_among(
     table: &FleetTable,
-    ask: &PlacementAsk<'_>,
+    ask: &PlacementRequest<'_>,
     endpoints: Vec<(EndpointKey, &EndpointRow)>,
     now: Moment,
 ) -> Option<PlacementChoice> {
@@ -203,7 +203,7 @@
         }
         let rereading = choice.kept.reread_tokens as f64 * REREAD_MICROS;
         let cost = choice.expected_micros as f64
-            + choice.over_tokens as f64 * OVER_TOKEN_MICROS
+            + choice.excess_tokens as f64 * OVER_TOKEN_MICROS
             + rereading
             + surcharge(row, ask)
             + SPREAD_MICROS * (ask.draw)();
@@ -230,7 +230,7 @@
 /// The endpoints that a request may go to, now or when they take more: all sound ones, or all if none is.
 pub(crate) fn candidates<'a>(
     table: &'a FleetTable,
-    ask: &PlacementAsk<'_>,
+    ask: &PlacementRequest<'_>,
     now: Moment,
 ) -> Vec<(EndpointKey, &'a EndpointRow)> {
     let allowed = table.rows_of(ask.service).filter(|(key, row)| ask.allows(table, *key, row, now));
@@ -259,7 +259,7 @@
         &mut self,
         row: &'a EndpointRow,
         table: &FleetTable,
-        ask: &PlacementAsk<'_>,
+        ask: &PlacementRequest<'_>,
         now: Moment,
     ) -> (u64, &PartMoves) {
         let version = engine_version(row, ask);
@@ -279,7 +279,7 @@
         &mut self,
         version: Option<u64>,
         table: &FleetTable,
-        ask: &PlacementAsk<'_>,
+        ask: &PlacementRequest<'_>,
         now: Moment,
     ) -> usize {
         let known = self.holders.iter().position(|(other, _, _)| *other == version);
@@ -293,11 +293,11 @@
 }
 
 /// The weights that an engine is believed to have of the model that is asked for.
-fn engine_version(row: &EndpointRow, ask: &PlacementAsk<'_>) -> Option<u64> {
+fn engine_version(row: &EndpointRow, ask: &PlacementRequest<'_>) -> Option<u64> {
     ask.model.and_then(|model| row.entry.weights.get(model).copied())
 }
 
-fn move_terms(row: &EndpointRow, ask: &PlacementAsk<'_>) -> MoveTerms {
+fn move_terms(row: &EndpointRow, ask: &PlacementRequest<'_>) -> MoveTerms {
     MoveTerms {
         read_micros: READ_MICROS * row.pace(),
         objective_micros: (ask.objective_millis * MICROS_PER_MILLI) as f64,
@@ -305,7 +305,12 @@
 }
 
 /// Whether the request might start only when the weights that an engine has are overdue.
-fn may_be_overdue(row: &EndpointRow, choice: &PlacementChoice, ask: &PlacementAsk<'_>, now: Moment) -> bool {
+fn may_be_overdue(
+    row: &EndpointRow,
+    choice: &PlacementChoice,
+    ask: &PlacementRequest<'_>,
+    now: Moment,
+) -> bool {
     let (Some(model), Some(wanted)) = (ask.model, ask.wanted) else { return false };
     let Some(version) = row.entry.weights.get(model) else { return false };
     let expected = now.after_micros(choice.expected_micros * OVERDUE_FACTOR);
@@ -313,7 +318,7 @@
     start >= wanted.last_start(*version)
 }
 
-fn surcharge(row: &EndpointRow, ask: &PlacementAsk<'_>) -> f64 {
+fn surcharge(row: &EndpointRow, ask: &PlacementRequest<'_>) -> f64 {
     let mut cost = FAILURE_MICROS * row.failure_ratio().powi(2);
     if ask.silent.contains(&row.entry.data_centre.as_str()) {
         cost += SILENT_MICROS;
@@ -340,7 +345,7 @@
 fn engine_choice(
     key: EndpointKey,
     view: &EngineView<'_>,
-    ask: &PlacementAsk<'_>,
+    ask: &PlacementRequest<'_>,
     now: Moment,
 ) -> PlacementChoice {
     let row = view.row;
@@ -355,7 +360,7 @@
     let need = u64::from(ask.prompt_tokens) + u64::from(output);
     let over_memory = (load.memory_tokens + need).saturating_sub(view.memory_tokens);
     let room = (view.memory_tokens as f64 * ask.memory_part) as u64;
-    let over_tokens = (load.memory_tokens + need).saturating_sub(room);
+    let excess_tokens = (load.memory_tokens + need).saturating_sub(room);
     let queue = load.unread_tokens as f64 * read_micros;
     let reading = unread_tokens as f64 * read_micros;
     let memory_wait = over_memory as f64 * read_micros * MEMORY_FACTOR;
@@ -367,7 +372,7 @@
         key,
         load,
         expected_micros,
-        over_tokens,
+        excess_tokens,
         queue_micros: queue as u64,
         version,
         salt,
--- a/crates/decide/src/fleet/endpoint_row.rs
+++ b/crates/decide/src/fleet/endpoint_row.rs
@@ -301,7 +301,7 @@
 
     /// Learns its pace from a first event that came after `taken` where `expected` was expected; gives the
     /// multiple of the usual time that it took.
-    pub fn learn_pace(&mut self, taken_micros: u64, expected_micros: u64) -> Option<f32> {
+    pub fn record_slowdown(&mut self, taken_micros: u64, expected_micros: u64) -> Option<f32> {
         if expected_micros == 0 {
             return None;
         }
--- a/crates/decide/src/fleet/fleet_limits.rs
+++ b/crates/decide/src/fleet/fleet_limits.rs
@@ -5,7 +5,7 @@
 use crate::admit::candidates;
 use crate::{
     ColdSpec, ColdTerms, EndpointEntry, EndpointKey, EndpointRow, FleetTable, LimitChange, LimitReport,
-    PlacementAsk, RateTerms, ShareOutlook, ShareView,
+    PlacementRequest, RateTerms, ShareOutlook, ShareView,
 };
 use spanfold_entity::Moment;
 
@@ -75,7 +75,7 @@
 
     /// Counts a request that is about to be sent to an endpoint; false if that takes none now, which another request may have
     /// brought about since the choice.
-    pub fn take_share(&mut self, key: EndpointKey, shares: &ShareView<'_>, now: Moment) -> bool {
+    pub fn consume_share(&mut self, key: EndpointKey, shares: &ShareView<'_>, now: Moment) -> bool {
         let Some(row) = self.rows.get(&key) else { return false };
         let terms = self.rate_terms(row, shares.cold, now);
         let window_millis = terms.iter().flatten().map(|terms| terms.window_millis).max();
@@ -90,7 +90,7 @@
     }
 
     /// What the endpoints take together that a request may go to, if all of them rest or take few requests only.
-    pub fn share_outlook(&self, ask: &PlacementAsk<'_>, now: Moment) -> Option<ShareOutlook> {
+    pub fn share_outlook(&self, ask: &PlacementRequest<'_>, now: Moment) -> Option<ShareOutlook> {
         let shares = &ask.shares;
         let mut outlook = ShareOutlook { vms: shares.vms, ..ShareOutlook::default() };
         let (mut is_any, mut all_rest) = (false, true);
--- a/crates/decide/src/fleet/fleet_table.rs
+++ b/crates/decide/src/fleet/fleet_table.rs
@@ -258,8 +258,13 @@
     }
 
     /// Learns an engine's pace from the time to a first event; gives the multiple of the usual time that it took.
-    pub fn learn_pace(&mut self, key: EndpointKey, taken_micros: u64, expected_micros: u64) -> Option<f32> {
-        self.rows.get_mut(&key)?.learn_pace(taken_micros, expected_micros)
+    pub fn record_slowdown(
+        &mut self,
+        key: EndpointKey,
+        taken_micros: u64,
+        expected_micros: u64,
+    ) -> Option<f32> {
+        self.rows.get_mut(&key)?.record_slowdown(taken_micros, expected_micros)
     }
 
     /// Whether a send is reported to other VMs: it failed, or its endpoint failed before. A broken send indicates nothing
--- a/crates/decide/src/kept/kept_plan.rs
+++ b/crates/decide/src/kept/kept_plan.rs
@@ -197,7 +197,7 @@
     };
     let open: Vec<_> = table
         .stores()
-        .filter(|(_, row)| row.is_heard(now) && row.has_room(tokens))
+        .filter(|(_, row)| row.is_heard(now) && row.has_capacity(tokens))
         .filter(|(_, row)| table.is_home(place.homes, &row.spec.data_centre))
         .collect();
     let fastest = open.iter().map(|(_, row)| speed(row)).min_by(f64::total_cmp)?;
--- a/crates/decide/src/kept/store_row.rs
+++ b/crates/decide/src/kept/store_row.rs
@@ -201,7 +201,7 @@
     }
 
     /// Whether a part of `tokens` fits beside what is there and on its way.
-    pub fn has_room(&self, tokens: u32) -> bool {
+    pub fn has_capacity(&self, tokens: u32) -> bool {
         let taken = self.used_tokens + self.asked_tokens + u64::from(tokens);
         taken as f64 <= self.spec.tokens as f64 * (1.0 - SPARE_PART)
     }
@@ -213,7 +213,7 @@
 
     /// Notes that a part is being sent there for a request of another VM: it takes room, but whether the
     /// engine there needed to send it is not known here.
-    pub fn ask_elsewhere(&mut self, key: u64, tokens: u32, now: Moment) {
+    pub fn record_remote_request(&mut self, key: u64, tokens: u32, now: Moment) {
         if !self.asked.get(&key).is_some_and(|asked| asked.is_own) {
             self.note_asked(key, AskedPart { tokens, until: now.after_millis(ASKED_MILLIS), is_own: false });
         }
@@ -266,7 +266,7 @@
     }
 
     /// Learns the link's pace from a move that took `taken` where `expected` was expected.
-    pub fn learn_pace(&mut self, taken_micros: f64, expected_micros: f64, now: Moment) {
+    pub fn record_slowdown(&mut self, taken_micros: f64, expected_micros: f64, now: Moment) {
         // What was expected rested on the pace that all saw; so does what is learned, if nothing was
         // seen here lately.
         let believed = self.pace(now);
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -22,7 +22,7 @@
 
 pub use admit::{
     AdmissionVerdict, AdmissionView, BlockedCounts, BudgetTerms, ColdTerms, HeldBytes, HolderId,
-    ListStanding, PlacementAsk, PlacementChoice, QueueOrder, RateTerms, RecentSends, RetryBudget,
+    ListStanding, PlacementChoice, PlacementRequest, QueueOrder, RateTerms, RecentSends, RetryBudget,
     ShareOutlook, ShareQueue, ShareRight, ShareVerdict, ShareView, place, salt_text, salt_version, take_part,
 };
 pub(crate) use fleet::SharedWeights;
--- a/crates/decide/src/quarantine/quarantine_table.rs
+++ b/crates/decide/src/quarantine/quarantine_table.rs
@@ -83,7 +83,7 @@
 
     /// Begins a hold; gives its number, or none if the request is held already or there is no room.
     pub fn hold(&mut self, request: RequestKey, endings: u32, now: Moment) -> Option<u32> {
-        if self.held(request, now).is_some() || !self.has_room(request) {
+        if self.held(request, now).is_some() || !self.has_capacity(request) {
             return None;
         }
         let round = self.rows.get(&request).map_or(0, |row| row.round) + 1;
@@ -115,7 +115,7 @@
             }
             return false;
         }
-        if now >= until || !self.has_room(request) {
+        if now >= until || !self.has_capacity(request) {
             return false;
         }
         let write_at = if is_stored { Moment::NEVER } else { now.after_millis(WRITE_AFTER_MILLIS) };
@@ -147,7 +147,7 @@
             None => {
                 // What the store still says of this hold must not begin it here.
                 let (phase, until) = (HoldPhase::Lifted, now.after_millis(HOLD_MILLIS));
-                if self.has_room(request) {
+                if self.has_capacity(request) {
                     let row = HeldRequest {
                         round,
                         endings: 0,
@@ -224,7 +224,7 @@
     }
 
     /// Whether a row of `request` may be added; one that is not held makes room.
-    fn has_room(&mut self, request: RequestKey) -> bool {
+    fn has_capacity(&mut self, request: RequestKey) -> bool {
         if self.rows.len() < HELD_LIMIT || self.rows.contains_key(&request) {
             return true;
         }
--- a/crates/decide/src/weights/weight_scheduler.rs
+++ b/crates/decide/src/weights/weight_scheduler.rs
@@ -182,7 +182,7 @@
     }
 
     /// Engines whose loads may be over: their state is worth asking for.
-    pub fn nearly_loaded(&self, now: Moment) -> impl Iterator<Item = EndpointKey> {
+    pub fn finishing_loads(&self, now: Moment) -> impl Iterator<Item = EndpointKey> {
         let early = (self.load_micros as f64 * ASK_FROM_PART) as u64;
         let ordered = self.loads.iter().filter(move |(_, (_, stage))| match stage {
             LoadStage::Closing(_) => false,
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -7,8 +7,8 @@
 
 use spanfold_decide::{
     AdmissionVerdict, AdmissionView, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable,
-    HomeRegions, LoadCount, PlacementAsk, PlacementChoice, PromptPart, ServiceRow, ShareView, VersionSplit,
-    place, take_part,
+    HomeRegions, LoadCount, PlacementChoice, PlacementRequest, PromptPart, ServiceRow, ShareView,
+    VersionSplit, place, take_part,
 };
 use spanfold_entity::Moment;
 use std::collections::{BTreeMap, VecDeque};
@@ -66,7 +66,7 @@
 
 fn choose(table: &FleetTable, memory_part: f64, now: Moment) -> PlacementChoice {
     let parts = [PromptPart { key: 1, tokens: PROMPT as u32 }];
-    let ask = PlacementAsk {
+    let ask = PlacementRequest {
         service: "llm",
         data_centre: "dc-a",
         silent: &[],
@@ -226,8 +226,8 @@
     assert!(outcome.in_time.range(..11).all(|(_, (in_time, all))| in_time == all), "{:?}", outcome.in_time);
 }
 
-fn full(over_tokens: u64, expected_millis: u64) -> PlacementChoice {
-    PlacementChoice { over_tokens, expected_micros: expected_millis * 1_000, ..PlacementChoice::default() }
+fn full(excess_tokens: u64, expected_millis: u64) -> PlacementChoice {
+    PlacementChoice { excess_tokens, expected_micros: expected_millis * 1_000, ..PlacementChoice::default() }
 }
 
 #[yare::parameterized(
--- a/crates/decide/tests/endpoint_answers.rs
+++ b/crates/decide/tests/endpoint_answers.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
     ColdTerms, DeploymentConfig, EndpointEntry, EndpointKey, EndpointRest, FleetTable, HomeRegions,
-    PlacementAsk, RestChange, SendOutcome, SendReport, ShareView, VersionSplit, VmKey, place,
+    PlacementRequest, RestChange, SendOutcome, SendReport, ShareView, VersionSplit, VmKey, place,
 };
 use spanfold_entity::Moment;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -36,8 +36,8 @@
     ShareView { right: None, cold: ColdTerms::default(), vms: 9 }
 }
 
-fn ask(exclude: &[EndpointKey]) -> PlacementAsk<'_> {
-    PlacementAsk {
+fn ask(exclude: &[EndpointKey]) -> PlacementRequest<'_> {
+    PlacementRequest {
         service: "desk",
         data_centre: "dc-a",
         silent: &[],
@@ -172,7 +172,7 @@
 /// Sends one request where it is placed; nothing goes to an endpoint that left or rests.
 fn send(table: &mut FleetTable, truth: &Truth, now: Moment) {
     let Some(choice) = place(table, &ask(&[]), now) else { return };
-    if !table.take_share(choice.key, &shares(), now) {
+    if !table.consume_share(choice.key, &shares(), now) {
         return;
     }
     assert!(!truth.departed.contains(&choice.key), "sent to one that left");
@@ -236,11 +236,11 @@
     assert_eq!(table.rest_outlook("desk", 9, |_| true, at(3_299)).unwrap().rest_until, Some(at(3_300)));
     assert!(place(&table, &ask(&[]), at(3_300)).is_some());
     // One request at a time until one is served.
-    assert!(table.take_share(key, &shares(), at(3_300)));
-    assert!(!table.take_share(key, &shares(), at(3_400)));
-    assert!(table.take_share(key, &shares(), at(3_500)));
+    assert!(table.consume_share(key, &shares(), at(3_300)));
+    assert!(!table.consume_share(key, &shares(), at(3_400)));
+    assert!(table.consume_share(key, &shares(), at(3_500)));
     assert!(table.record_served(key, at(3_300)));
-    assert!((0..50).all(|_| table.take_share(key, &shares(), at(3_510))));
+    assert!((0..50).all(|_| table.consume_share(key, &shares(), at(3_510))));
 }
 
 /// A rest of years, said by one faulty answer, takes an endpoint from a VM for an hour.
--- a/crates/decide/tests/endpoint_sample.rs
+++ b/crates/decide/tests/endpoint_sample.rs
@@ -3,7 +3,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
-    DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions, PlacementAsk,
+    DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions, PlacementRequest,
     PromptPart, ServiceRow, ShareView, VersionSplit, place, salt_text, short_digest,
 };
 use spanfold_entity::Moment;
@@ -46,8 +46,8 @@
     table
 }
 
-fn ask<'a>(parts: &'a [PromptPart], exclude: &'a [EndpointKey]) -> PlacementAsk<'a> {
-    PlacementAsk {
+fn ask<'a>(parts: &'a [PromptPart], exclude: &'a [EndpointKey]) -> PlacementRequest<'a> {
+    PlacementRequest {
         service: "llm",
         data_centre: "dc-1",
         silent: &[],
--- a/crates/decide/tests/engine_starts.rs
+++ b/crates/decide/tests/engine_starts.rs
@@ -68,7 +68,7 @@
     let table = restarted(|table| {
         for _ in 0..8 {
             table.learn(key(1_000), SendOutcome::Broken, at(4));
-            table.learn_pace(key(1_000), 9_000, 1_000);
+            table.record_slowdown(key(1_000), 9_000, 1_000);
         }
         for vm in ["a", "b"] {
             let report = SendReport {
--- a/crates/decide/tests/kept.rs
+++ b/crates/decide/tests/kept.rs
@@ -83,11 +83,11 @@
 fn room_counts_what_is_held_and_what_is_on_its_way() {
     let mut row = store(1_000);
     row.replace(&news(1, vec![change("s", 1, 500)]), Moment(0));
-    assert!(row.has_room(400));
+    assert!(row.has_capacity(400));
     row.ask(key("s", 2), 300, Moment(0));
-    assert!(!row.has_room(400));
+    assert!(!row.has_capacity(400));
     row.apply(&news(1, vec![change("s", 1, 0)]), Moment(0));
-    assert!(row.has_room(400));
+    assert!(row.has_capacity(400));
 }
 
 #[test]
@@ -123,16 +123,16 @@
     let mut row = store(1_000);
     let now = Moment(0);
     row.replace(&news(1, Vec::new()), now.after_millis(60_000));
-    row.ask_elsewhere(key("s", 1), 600, now);
-    assert!(!row.has_room(500));
+    row.record_remote_request(key("s", 1), 600, now);
+    assert!(!row.has_capacity(500));
     assert!(!row.has_or_awaits(key("s", 1), now));
     // Sent from here, too: it counts once, and is awaited.
     row.ask(key("s", 1), 600, now);
-    row.ask_elsewhere(key("s", 1), 600, now);
-    assert!(row.has_room(300));
+    row.record_remote_request(key("s", 1), 600, now);
+    assert!(row.has_capacity(300));
     assert!(row.has_or_awaits(key("s", 1), now));
     row.apply(&news(1, vec![change("s", 1, 600)]), now.after_millis(60_000));
-    assert!(row.has_room(300) && !row.has_room(500));
+    assert!(row.has_capacity(300) && !row.has_capacity(500));
 }
 
 #[test]
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -2,8 +2,8 @@
 
 use spanfold_decide::{
     CacheUpdate, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions,
-    KeptChange, LoadCount, LoadSource, PlacementAsk, PlacementChoice, PromptPart, SendOutcome, ServiceRow,
-    ShareView, StoreSpec, VersionSplit, VmKey, WantedWeights, place,
+    KeptChange, LoadCount, LoadSource, PlacementChoice, PlacementRequest, PromptPart, SendOutcome,
+    ServiceRow, ShareView, StoreSpec, VersionSplit, VmKey, WantedWeights, place,
 };
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
@@ -60,8 +60,8 @@
     PromptPart { key: 3, tokens: 1_500 },
 ];
 
-fn ask() -> PlacementAsk<'static> {
-    PlacementAsk {
+fn ask() -> PlacementRequest<'static> {
+    PlacementRequest {
         service: "llm",
         data_centre: "dc-a",
         silent: &[],
@@ -90,7 +90,7 @@
     EndpointKey::of(id)
 }
 
-fn chosen(table: &FleetTable, ask: &PlacementAsk<'_>) -> PlacementChoice {
+fn chosen(table: &FleetTable, ask: &PlacementRequest<'_>) -> PlacementChoice {
     place(table, ask, NOW).unwrap()
 }
 
@@ -112,12 +112,12 @@
     table.take(key("i-1"), load(0, MEMORY - 5_000), &[], 0);
     table.take(key("i-2"), load(9_000, 9_000), &[], 0);
     let choice = chosen(&table, &ask());
-    assert_eq!((choice.key, choice.over_tokens), (key("i-2"), 0));
+    assert_eq!((choice.key, choice.excess_tokens), (key("i-2"), 0));
     // Whoever may fill more of the memory finds room there.
-    let choice = chosen(&table, &PlacementAsk { memory_part: 1.15, ..ask() });
-    assert_eq!((choice.key, choice.over_tokens), (key("i-1"), 0));
+    let choice = chosen(&table, &PlacementRequest { memory_part: 1.15, ..ask() });
+    assert_eq!((choice.key, choice.excess_tokens), (key("i-1"), 0));
     table.take(key("i-2"), load(0, MEMORY), &[], 0);
-    assert_eq!(chosen(&table, &ask()).over_tokens, 9_010 - 5_000);
+    assert_eq!(chosen(&table, &ask()).excess_tokens, 9_010 - 5_000);
 }
 
 #[test]
@@ -126,7 +126,7 @@
     table.apply_entry(EndpointEntry { draining: true, ..entry("i-1", "dc-a", 1) }, Moment(0));
     assert_eq!(chosen(&table, &ask()).key, key("i-2"));
     let excluded = [key("i-2")];
-    assert!(place(&table, &PlacementAsk { exclude: &excluded, ..ask() }, NOW).is_none());
+    assert!(place(&table, &PlacementRequest { exclude: &excluded, ..ask() }, NOW).is_none());
     // An ejected endpoint is better than none.
     table.learn(key("i-2"), SendOutcome::Broken, NOW);
     assert_eq!(chosen(&table, &ask()).key, key("i-2"));
@@ -150,12 +150,14 @@
     let wanted = |bound| WantedWeights { newest: 2, bounds: vec![(2, bound)] };
     let (fresh, overdue) = (wanted(NOW.after_millis(9_000)), wanted(NOW));
     // Old weights are only a drawback, until they are overdue.
-    let small = PlacementAsk { bytes: 100, ..ask() };
-    assert_eq!(chosen(&table, &PlacementAsk { wanted: Some(&fresh), ..small.clone() }).key, key("i-2"));
+    let small = PlacementRequest { bytes: 100, ..ask() };
+    assert_eq!(chosen(&table, &PlacementRequest { wanted: Some(&fresh), ..small.clone() }).key, key("i-2"));
     let only = [key("i-2")];
-    let at_one = PlacementAsk { wanted: Some(&overdue), exclude: &only, ..small.clone() };
+    let at_one = PlacementRequest { wanted: Some(&overdue), exclude: &only, ..small.clone() };
     assert!(place(&table, &at_one, NOW).is_none());
-    assert!(place(&table, &PlacementAsk { wanted: Some(&fresh), exclude: &only, ..small }, NOW).is_some());
+    assert!(
+        place(&table, &PlacementRequest { wanted: Some(&fresh), exclude: &only, ..small }, NOW).is_some()
+    );
 }
 
 #[test]
@@ -163,7 +165,7 @@
     // A prompt that waited 1.8 s at its engine began 10.5 s after newer weights were named, where 10 s are allowed.
     let mut table = table(&[entry("i-1", "dc-a", 1)]);
     let wanted = WantedWeights { newest: 2, bounds: vec![(2, NOW.after_millis(2_500))] };
-    let ask = PlacementAsk { wanted: Some(&wanted), ..ask() };
+    let ask = PlacementRequest { wanted: Some(&wanted), ..ask() };
     assert!(place(&table, &ask, NOW).is_some());
     // When the bound is near.
     assert!(place(&table, &ask, NOW.after_millis(1_700)).is_none());
@@ -206,7 +208,7 @@
     assert_eq!((after.kept.moved_tokens, after.load.unread_tokens), (7_500, 1_500));
     assert_eq!(after.kept.fetches, [Some(key("kept")), Some(key("kept")), None]);
     assert!(after.expected_micros < before.expected_micros);
-    let walled = chosen(&table, &PlacementAsk { wall: "account:one", ..ask() });
+    let walled = chosen(&table, &PlacementRequest { wall: "account:one", ..ask() });
     assert_eq!(walled.kept.moved_tokens, 0);
     assert_eq!(walled.kept.saves, [Some(key("kept")), Some(key("kept")), None]);
 }
@@ -243,7 +245,7 @@
     row.replace(&news, NOW.after_millis(1_000));
     // Other VMs' moves keep the link busy.
     row.set_peer(LoadSource::Vm(VmKey(7)), 230_000, None, NOW);
-    let choice = chosen(&table, &PlacementAsk { objective_millis, ..ask() });
+    let choice = chosen(&table, &PlacementRequest { objective_millis, ..ask() });
     assert_eq!(choice.kept.moved_tokens, moved_tokens);
 }
 
@@ -271,10 +273,13 @@
     let mut table = table(&[entry("i-1", "dc-a", 1), entry("i-2", "dc-b", 1)]);
     table.take(key("i-1"), load(9_000, 9_000), &[], 0);
     assert_eq!(chosen(&table, &ask()).key, key("i-2"));
-    assert_eq!(chosen(&table, &PlacementAsk { silent: &["dc-b"], ..ask() }).key, key("i-1"));
+    assert_eq!(chosen(&table, &PlacementRequest { silent: &["dc-b"], ..ask() }).key, key("i-1"));
     // It is better than nothing.
     let only = [key("i-1")];
-    assert_eq!(chosen(&table, &PlacementAsk { silent: &["dc-b"], exclude: &only, ..ask() }).key, key("i-2"));
+    assert_eq!(
+        chosen(&table, &PlacementRequest { silent: &["dc-b"], exclude: &only, ..ask() }).key,
+        key("i-2")
+    );
 }
 
 fn regions(table: &mut FleetTable) {
@@ -290,7 +295,7 @@
     let (north, south, both) = (homes(&["north"]), homes(&["south"]), homes(&["north", "south"]));
     let place_with = |route: &[String], account: &[String]| {
         let homes = HomeRegions { route, account };
-        place(&table, &PlacementAsk { homes, ..ask() }, NOW).map(|choice| choice.key)
+        place(&table, &PlacementRequest { homes, ..ask() }, NOW).map(|choice| choice.key)
     };
     assert_eq!(place_with(&south, &[]), Some(key("i-2")));
     assert_eq!(place_with(&[], &south), Some(key("i-2")));
@@ -311,7 +316,7 @@
     let saves = |home: &str| {
         let route = [home.to_owned()];
         let homes = HomeRegions { route: &route, account: &[] };
-        let choice = chosen(&table, &PlacementAsk { homes, ..ask() });
+        let choice = chosen(&table, &PlacementRequest { homes, ..ask() });
         choice.kept.saves.iter().flatten().count()
     };
     assert!(saves("north") > 0);
--- a/crates/decide/tests/shared_rate.rs
+++ b/crates/decide/tests/shared_rate.rs
@@ -194,7 +194,7 @@
 fn taken(table: &mut FleetTable, millis: u64) -> usize {
     let right = ShareRight::alone(VmKey::of("vm-1"), "dc-a");
     let shares = ShareView { right: Some(&right), cold: TERMS, vms: 1 };
-    (0..30).filter(|_| table.take_share(EndpointKey::of("i-1"), &shares, at(millis))).count()
+    (0..30).filter(|_| table.consume_share(EndpointKey::of("i-1"), &shares, at(millis))).count()
 }
 
 /// The endpoint names a limit, or none, in an answer that comes at so many milliseconds, 10 after its request.
@@ -211,7 +211,7 @@
     assert_eq!(taken(&mut table, 1_100), 10);
     // Without the right, nothing.
     let shares = ShareView { right: None, cold: TERMS, vms: 1 };
-    assert!(!table.take_share(EndpointKey::of("i-1"), &shares, at(5_000)));
+    assert!(!table.consume_share(EndpointKey::of("i-1"), &shares, at(5_000)));
 }
 
 #[test]
--- a/crates/decide/tests/told_health.rs
+++ b/crates/decide/tests/told_health.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
     DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions, LoadCount,
-    PlacementAsk, PromptPart, SendOutcome, SendReport, ServiceRow, ShareView, VersionSplit, VmKey, place,
+    PlacementRequest, PromptPart, SendOutcome, SendReport, ServiceRow, ShareView, VersionSplit, VmKey, place,
 };
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
@@ -126,7 +126,7 @@
 
 fn choose(table: &FleetTable, now: Moment) -> usize {
     let parts = [PromptPart { key: 1, tokens: 1_700 }];
-    let ask = PlacementAsk {
+    let ask = PlacementRequest {
         service: "llm",
         data_centre: "dc-a",
         silent: &[],
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -18,7 +18,7 @@
 use crate::store::store_era::StoreEra;
 use crate::{
     BudgetTerms, EndpointRow, FleetTable, IdentityKey, ListStanding, NamedVersion, NamedWeights,
-    PlacementAsk, PlacementChoice, QuarantineMessage, RetryBudget, RolloutTable, RouteTable, SendReport,
+    PlacementChoice, PlacementRequest, QuarantineMessage, RetryBudget, RolloutTable, RouteTable, SendReport,
     StorePosition, VmEntry, VmKey, WantedWeights, WeightTarget, WireDialect, place, short_digest,
 };
 use spanfold_declare::GatewaySettings;
@@ -415,7 +415,7 @@
     }
 
     /// Chooses an endpoint by what is known now.
-    pub(crate) fn place(&self, ask: &PlacementAsk<'_>) -> Option<PlacementChoice> {
+    pub(crate) fn place(&self, ask: &PlacementRequest<'_>) -> Option<PlacementChoice> {
         place(&self.table(), ask, self.now())
     }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -44,7 +44,7 @@
     EndpointCopy, EndpointEnding, EndpointRow, EngineState, ExposureTerms, FleetSweep, FleetTable, HeldBytes,
     HeldRequest, HoldPhase, HolderId, HolderRecord, HolderStanding, IdentityKey, IndexReporter, KeptRow,
     LEADS, LimitChange, LimitReport, LinkMoves, ListStanding, LoadCount, LoadSource, NamedVersion,
-    NamedWeights, NamingRecord, PIECE_BYTES, PeerHeartbeat, PeerTable, PlacementAsk, PlacementChoice,
+    NamedWeights, NamingRecord, PIECE_BYTES, PeerHeartbeat, PeerTable, PlacementChoice, PlacementRequest,
     PollSchedule, PropagationPlan, QuarantineChange, QuarantineMessage, QueueOrder, RateTerms,
     ReassemblyProgress, RequestIdentity, RequestKey, RequestQuarantine, RestChange, RetryBudget,
     RolloutAnswer, RolloutReason, RolloutRecord, RolloutRun, RolloutStep, RolloutTable, RouteCounts,
--- a/crates/gateway/src/orders/order_task.rs
+++ b/crates/gateway/src/orders/order_task.rs
@@ -128,7 +128,7 @@
     /// Asks engines whose loads may be over.
     fn ask_reports(&mut self, gateway: &Arc<Gateway>) {
         let now = gateway.now();
-        for key in self.desk.nearly_loaded(now) {
+        for key in self.desk.finishing_loads(now) {
             // One that leaves is not asked: what it has loaded matters no more.
             let is_known = gateway.table().row(key).is_some_and(|row| !row.is_leaving(now));
             if is_known && self.asked.insert(key) {
--- a/crates/gateway/src/peers/placed_note.rs
+++ b/crates/gateway/src/peers/placed_note.rs
@@ -45,7 +45,7 @@
             if let Some(part) = parts.get(usize::from(*place))
                 && let Some(row) = table.store_mut(*store)
             {
-                row.ask_elsewhere(salted_key(part.key, self.salt), part.tokens, now);
+                row.record_remote_request(salted_key(part.key, self.salt), part.tokens, now);
             }
         }
     }
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -16,7 +16,7 @@
 use crate::rollout::VersionedSend;
 use crate::salted_key;
 use crate::{
-    AdmissionVerdict, EndpointKey, FleetTable, PlacementAsk, PlacementChoice, SendOutcome, ShareVerdict,
+    AdmissionVerdict, EndpointKey, FleetTable, PlacementChoice, PlacementRequest, SendOutcome, ShareVerdict,
     ShareView, TestDraw, VersionSplit, salt_text, short_digest, take_part,
 };
 use bytes::Bytes;
@@ -169,7 +169,7 @@
         let right = gateway.share_right();
         let vms = gateway.peers().listed_count();
         let shares = ShareView { right: right.as_deref(), cold: gateway.cold_terms(), vms };
-        let ask = PlacementAsk {
+        let ask = PlacementRequest {
             service: &ticket.service,
             silent: &silent,
             data_centre: &gateway.settings.data_centre,
@@ -196,17 +196,17 @@
             admission.map_or(AdmissionVerdict::Go, |view| view.admit(choice, gateway.now()))
         };
         let placed = splits.iter().find_map(|versions| {
-            let ask = PlacementAsk { versions, ..ask.clone() };
+            let ask = PlacementRequest { versions, ..ask.clone() };
             let choice = gateway.place(&ask).filter(|choice| self.has_turn(choice));
             // Others go before it where endpoints take few: what is left are endpoints that take any number.
-            let rest = PlacementAsk { shares: ShareView { right: None, ..shares }, ..ask };
+            let rest = PlacementRequest { shares: ShareView { right: None, ..shares }, ..ask };
             let choice = choice.or_else(|| gateway.place(&rest))?;
             let verdict = admit(&choice);
             // A test does not wait for room that other endpoints have.
             let waits = matches!(versions, VersionSplit::Tested(..)) && verdict != AdmissionVerdict::Go;
             (!waits).then_some((choice, verdict))
         });
-        let ask = PlacementAsk { versions: splits.last().unwrap_or(&VersionSplit::Any), ..ask };
+        let ask = PlacementRequest { versions: splits.last().unwrap_or(&VersionSplit::Any), ..ask };
         let Some((choice, verdict)) = placed else { return self.wait_or_leave(&ask) };
         match verdict {
             AdmissionVerdict::Go if self.waits_for_room && !self.draws_room() => {
@@ -223,7 +223,7 @@
         let (endpoint, address) = {
             let mut table = gateway.table();
             let takes_few = table.takes_few(choice.key, gateway.now());
-            if !table.take_share(choice.key, &shares, gateway.now()) {
+            if !table.consume_share(choice.key, &shares, gateway.now()) {
                 return Some(PlaceResult::WaitForShare(gateway.now()));
             }
             if takes_few {
@@ -267,7 +267,7 @@
     }
 
     /// What becomes of a request that no endpoint takes now; none if there is no endpoint.
-    fn wait_or_leave(&self, ask: &PlacementAsk<'_>) -> Option<PlaceResult> {
+    fn wait_or_leave(&self, ask: &PlacementRequest<'_>) -> Option<PlaceResult> {
         let gateway = &self.gateway;
         let now = gateway.now();
         let outlook = gateway.table().share_outlook(ask, now);
--- a/crates/gateway/src/requests/flight.rs
+++ b/crates/gateway/src/requests/flight.rs
@@ -86,7 +86,7 @@
         if let Some(send) = &mut self.versioned {
             send.begin(taken, self.expected_micros);
         }
-        let pace = self.learn_pace(taken);
+        let pace = self.record_slowdown(taken);
         self.gateway.record_send(SendReport {
             key: self.key,
             outcome: SendOutcome::Answered,
@@ -104,14 +104,14 @@
     /// Learns the pace of the engine, or of the store that parts came from: what comes later than
     /// expected after a move is the move's doing, since engines' paces are known from other prompts. Gives the
     /// multiple of the engine's usual time, if it was that.
-    fn learn_pace(&self, taken: u64) -> Option<f32> {
+    fn record_slowdown(&self, taken: u64) -> Option<f32> {
         let mut table = self.gateway.table();
         let Some((store, _)) = self.moves.iter().max_by_key(|(_, tokens)| *tokens) else {
-            return table.learn_pace(self.key, taken, self.expected_micros);
+            return table.record_slowdown(self.key, taken, self.expected_micros);
         };
         if let Some(row) = table.store_mut(*store) {
             let rest = self.expected_micros as f64 - self.move_micros;
-            row.learn_pace(taken as f64 - rest, self.move_micros, self.gateway.now());
+            row.record_slowdown(taken as f64 - rest, self.move_micros, self.gateway.now());
         }
         None
     }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -169,7 +169,7 @@
         (0..choice.candidates.len()).flat_map(|place| options(choice, place)).min_by(|left, right| {
             score(left).total_cmp(&score(right)).then(left.candidate.cmp(&right.candidate))
         })?;
-    has_room(choice, &choice.candidates[best.candidate]).then_some(best)
+    has_capacity(choice, &choice.candidates[best.candidate]).then_some(best)
 }
 
 /// Placements at one endpoint: compute what is missing, or import first.
@@ -225,7 +225,7 @@
 ///
 /// One slot is left for accounts below their share: a lent slot would otherwise come back only
 /// when a long answer ends.
-fn has_room(choice: &Choice<'_>, candidate: &Candidate) -> bool {
+fn has_capacity(choice: &Choice<'_>, candidate: &Candidate) -> bool {
     let reserved = u32::from(choice.over_share && candidate.slots > 2);
     // One more prefill is let in for an account below its share: the engine goes on with the higher
     // priority after each piece, so that it waits for one piece and not for two prompts.
