--- a/crates/decide/examples/placement_cost.rs
+++ b/crates/decide/examples/placement_cost.rs
@@ -4,7 +4,7 @@
 
 use spanfold_decide::{
     CacheUpdate, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions,
-    KeptChange, LoadCount, LoadSource, PlacementRequest, PromptPart, ServiceRow, ShareView, StoreSpec,
+    KeptChange, LoadCount, LoadSource, PlacementRequest, PromptSegment, ServiceRow, ShareView, StoreSpec,
     VersionSplit, VmKey, place, salt_text,
 };
 use spanfold_entity::Moment;
@@ -75,9 +75,9 @@
 
 fn choose(table: &FleetTable, thing: u64) -> Option<EndpointKey> {
     let parts = [
-        PromptPart { key: 7, tokens: 2_500 },
-        PromptPart { key: 1_000 + thing, tokens: 5_000 },
-        PromptPart { key: u64::MAX, tokens: 1_600 },
+        PromptSegment { key: 7, tokens: 2_500 },
+        PromptSegment { key: 1_000 + thing, tokens: 5_000 },
+        PromptSegment { key: u64::MAX, tokens: 1_600 },
     ];
     let ask = PlacementRequest {
         service: "llm",
@@ -90,7 +90,7 @@
         bytes: 9_200,
         model: Some("m"),
         wanted: None,
-        memory_part: 1.0,
+        memory_fraction: 1.0,
         wall: "shared",
         exclude: &[],
         versions: &VersionSplit::Any,
@@ -166,7 +166,7 @@
         let changes = (0..size.parts).map(|part| {
             // All hold the first part; the others lie in one store each.
             let key = if part == 0 { 7 } else { 1_000 + part * size.stores as u64 + place as u64 };
-            KeptChange { salt: salt.clone(), part: key, part_text: String::new(), tokens: 5_000 }
+            KeptChange { salt: salt.clone(), part: key, segment_text: String::new(), tokens: 5_000 }
         });
         let news = CacheUpdate { incarnation: 1, changes: changes.collect(), ..CacheUpdate::default() };
         if let Some(row) = table.store_mut(EndpointKey::of(&format!("store-{store}"))) {
--- a/crates/decide/src/admit/admission.rs
+++ b/crates/decide/src/admit/admission.rs
@@ -46,7 +46,7 @@
 /// use spanfold_decide::take_part;
 /// assert!(take_part(9) > 0.3 && take_part(82) < 0.1);
 /// ```
-pub fn take_part(vms: usize) -> f64 {
+pub fn claim_probability(vms: usize) -> f64 {
     1.0 / (1.0 + vms as f64 / LOOKING_VMS)
 }
 
@@ -88,7 +88,7 @@
     /// };
     /// assert!(view.memory_part(Moment(0)) > view.memory_part(Moment(600_000)));
     /// ```
-    pub fn memory_part(&self, now: Moment) -> f64 {
+    pub fn memory_fraction(&self, now: Moment) -> f64 {
         if now >= self.in_time_until() {
             return LATE_MEMORY_PART;
         }
--- a/crates/decide/src/admit/mod.rs
+++ b/crates/decide/src/admit/mod.rs
@@ -9,7 +9,7 @@
 mod share_queue;
 mod shared_rate;
 
-pub use admission::{AdmissionVerdict, AdmissionView, take_part};
+pub use admission::{AdmissionVerdict, AdmissionView, claim_probability};
 pub use blocked_counts::BlockedCounts;
 pub use held_bytes::{HeldBytes, HolderId};
 pub(crate) use placement::candidates;
@@ -17,4 +17,4 @@
 pub use retry_budget::{BudgetTerms, RetryBudget};
 pub use share_queue::{QueueOrder, ShareOutlook, ShareQueue, ShareVerdict};
 pub use shared_rate::{ColdTerms, ListStanding, RateTerms, RecentSends, ShareRight};
-pub(crate) use shared_rate::{LEAST_PER_S, PART_KEPT_MILLIS};
+pub(crate) use shared_rate::{LEAST_PER_S, SHARE_RETENTION_MILLIS};
--- a/crates/decide/src/admit/placement.rs
+++ b/crates/decide/src/admit/placement.rs
@@ -10,11 +10,11 @@
 
 use crate::admit::endpoint_sample::sample_endpoints;
 use crate::kept::{
-    KeptPlan, MoveTerms, PartHolders, PartMoves, REREAD_MICROS, SavePlace, plan_fetches, plan_kept,
+    KeptPlan, MoveTerms, REREAD_MICROS, SavePlace, SegmentHolders, SegmentTransfers, plan_fetches, plan_kept,
     plan_saves,
 };
 use crate::{
-    ColdTerms, EndpointKey, EndpointRow, FleetTable, HomeRegions, LoadCount, PromptPart, RateTerms,
+    ColdTerms, EndpointKey, EndpointRow, FleetTable, HomeRegions, LoadCount, PromptSegment, RateTerms,
     ShareRight, VersionSplit, WantedWeights, short_digest,
 };
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
@@ -60,7 +60,7 @@
     /// Data centres that seem to be cut off.
     pub silent: &'a [&'a str],
     /// The prompt's parts; empty for plain services.
-    pub parts: &'a [PromptPart],
+    pub parts: &'a [PromptSegment],
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Tokens that may be generated.
@@ -74,7 +74,7 @@
     /// The versions of its weights that are wanted, if any was named.
     pub wanted: Option<&'a WantedWeights>,
     /// Part of an engine's memory that the request may fill up.
-    pub memory_part: f64,
+    pub memory_fraction: f64,
     /// Regions that the request may be served in.
     pub homes: HomeRegions<'a>,
     /// Who may share cached parts: all accounts, or one alone.
@@ -249,8 +249,8 @@
 /// and data centre, what its move takes.
 #[derive(Debug, Default)]
 struct PromptOutlook<'a> {
-    holders: Vec<(Option<u64>, u64, PartHolders)>,
-    moves: Vec<(Option<u64>, &'a str, PartMoves)>,
+    holders: Vec<(Option<u64>, u64, SegmentHolders)>,
+    moves: Vec<(Option<u64>, &'a str, SegmentTransfers)>,
 }
 
 impl<'a> PromptOutlook<'a> {
@@ -261,14 +261,14 @@
         table: &FleetTable,
         ask: &PlacementRequest<'_>,
         now: Moment,
-    ) -> (u64, &PartMoves) {
+    ) -> (u64, &SegmentTransfers) {
         let version = engine_version(row, ask);
         let held = self.held(version, table, ask, now);
         let data_centre = row.entry.data_centre.as_str();
         let known =
             self.moves.iter().position(|(other, place, _)| *other == version && *place == data_centre);
         let place = known.unwrap_or_else(|| {
-            let moves = PartMoves::find(table, &self.holders[held].2, ask.parts, data_centre, now);
+            let moves = SegmentTransfers::find(table, &self.holders[held].2, ask.parts, data_centre, now);
             self.moves.push((version, data_centre, moves));
             self.moves.len() - 1
         });
@@ -286,7 +286,7 @@
         known.unwrap_or_else(|| {
             let text = salt_text(ask.wall, ask.model.unwrap_or(""), version.unwrap_or(0));
             let salt = short_digest(&text);
-            self.holders.push((version, salt, PartHolders::find(table, ask.parts, salt, now)));
+            self.holders.push((version, salt, SegmentHolders::find(table, ask.parts, salt, now)));
             self.holders.len() - 1
         })
     }
@@ -338,7 +338,7 @@
 struct EngineView<'a> {
     row: &'a EndpointRow,
     salt: u64,
-    moves: &'a PartMoves,
+    moves: &'a SegmentTransfers,
     memory_tokens: u64,
 }
 
@@ -359,7 +359,7 @@
     let output = if ask.output_tokens == 0 { UNNAMED_OUTPUT } else { ask.output_tokens };
     let need = u64::from(ask.prompt_tokens) + u64::from(output);
     let over_memory = (load.memory_tokens + need).saturating_sub(view.memory_tokens);
-    let room = (view.memory_tokens as f64 * ask.memory_part) as u64;
+    let room = (view.memory_tokens as f64 * ask.memory_fraction) as u64;
     let excess_tokens = (load.memory_tokens + need).saturating_sub(room);
     let queue = load.unread_tokens as f64 * read_micros;
     let reading = unread_tokens as f64 * read_micros;
--- a/crates/decide/src/admit/retry_budget.rs
+++ b/crates/decide/src/admit/retry_budget.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Part of the allowance that is used; the rest covers windows that begin at other moments.
-const USED_PART: f64 = 0.8;
+const USABLE_FRACTION: f64 = 0.8;
 
 /// What the operator allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -61,7 +61,7 @@
         let terms = self.terms;
         let window = self.window(service, now);
         let own = terms.ratio * window.requests.len() as f64;
-        let allowed = USED_PART * (own + terms.slack / vms.max(1) as f64);
+        let allowed = USABLE_FRACTION * (own + terms.slack / vms.max(1) as f64);
         let spends = (window.repeats.len() + 1) as f64 <= allowed;
         if spends {
             window.repeats.push_back(now);
--- a/crates/decide/src/admit/shared_rate.rs
+++ b/crates/decide/src/admit/shared_rate.rs
@@ -37,7 +37,7 @@
 const NEWS_MILLIS: u64 = 2_500;
 /// A VM that has left the list, or has no news of it, keeps its part for this long, in milliseconds: longer than most outages
 /// of the store, so that endpoints with a limit are not out of use meanwhile.
-pub(crate) const PART_KEPT_MILLIS: u64 = 20_000;
+pub(crate) const SHARE_RETENTION_MILLIS: u64 = 20_000;
 
 /// What the operator allows all VMs together to send to a cold endpoint in a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -150,12 +150,13 @@
             self.member_since = Some(now);
         }
         self.lease_until = lease_until;
-        self.member_until = self.member_until.max(lease_until.after_millis(PART_KEPT_MILLIS));
+        self.member_until = self.member_until.max(lease_until.after_millis(SHARE_RETENTION_MILLIS));
     }
 
     /// Notes that the store told at `news_at` that the list stands as this VM knows it.
     pub fn record_list_confirmation(&mut self, confirmed_at: Moment) {
-        if self.news_since.is_none() || confirmed_at >= self.confirmed_at.after_millis(PART_KEPT_MILLIS) {
+        if self.news_since.is_none() || confirmed_at >= self.confirmed_at.after_millis(SHARE_RETENTION_MILLIS)
+        {
             self.news_since = Some(confirmed_at);
         }
         self.confirmed_at = self.confirmed_at.max(confirmed_at);
@@ -167,7 +168,7 @@
             since.is_some_and(|since| self.confirmed_at >= since.after_millis(LISTED_MILLIS))
         };
         let is_known = is_settled(self.member_since) && is_settled(self.news_since);
-        is_known && now < self.member_until && now < self.confirmed_at.after_millis(PART_KEPT_MILLIS)
+        is_known && now < self.member_until && now < self.confirmed_at.after_millis(SHARE_RETENTION_MILLIS)
     }
 
     /// Whether besides it stands in the list, and the list is not old.
@@ -230,7 +231,7 @@
     /// let alone = ShareRight::alone(VmKey::of("vm-1"), "dc-a");
     /// assert_eq!(alone.part_of_all(EndpointKey::of("a"), &RateTerms::of_count(20)), 20);
     /// ```
-    pub fn part_of_all(&self, key: EndpointKey, terms: &RateTerms) -> u64 {
+    pub fn share_of_total(&self, key: EndpointKey, terms: &RateTerms) -> u64 {
         self.part_among(&self.all, key, terms)
     }
 
--- a/crates/decide/src/fleet/deployment.rs
+++ b/crates/decide/src/fleet/deployment.rs
@@ -271,7 +271,7 @@
     /// The part.
     pub part: u64,
     /// The part's identity as the store writes it.
-    pub part_text: String,
+    pub segment_text: String,
     /// Tokens that are held from now on; zero if the part is gone.
     pub tokens: u32,
 }
@@ -295,7 +295,7 @@
 
 /// One part of a prompt: its identity and size, as the caller states them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptPart {
+pub struct PromptSegment {
     /// Short digest of the part's identity.
     pub key: u64,
     /// Its tokens.
--- a/crates/decide/src/fleet/fleet_loads.rs
+++ b/crates/decide/src/fleet/fleet_loads.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: what a source's digest does not name is at rest there.
 
-use crate::{EndpointKey, EndpointRow, FleetTable, LoadCount, LoadSource, PromptPart, VmKey};
+use crate::{EndpointKey, EndpointRow, FleetTable, LoadCount, LoadSource, PromptSegment, VmKey};
 use spanfold_entity::Moment;
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 
 impl FleetTable {
     /// Counts work sent to an endpoint, and believes that it keeps `parts` from now on.
-    pub fn take(&mut self, key: EndpointKey, load: LoadCount, parts: &[PromptPart], salt: u64) {
+    pub fn take(&mut self, key: EndpointKey, load: LoadCount, parts: &[PromptSegment], salt: u64) {
         self.record_segments(key, parts, salt);
         if let Some(row) = self.rows.get_mut(&key) {
             row.own.add(load);
@@ -30,7 +30,7 @@
     }
 
     /// Believes that an endpoint keeps `parts` from now on.
-    pub fn record_segments(&mut self, key: EndpointKey, parts: &[PromptPart], salt: u64) {
+    pub fn record_segments(&mut self, key: EndpointKey, parts: &[PromptSegment], salt: u64) {
         let Some(row) = self.rows.get_mut(&key) else { return };
         let memory = self
             .services
--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -29,7 +29,7 @@
 
 pub use deployment::{
     AccountRow, CacheUpdate, ColdSpec, DeploymentConfig, EndpointEntry, EngineReport, EngineSpec, KeptChange,
-    PromptPart, RequestLimits, RouteKind, RouteRow, ServiceRow, ServiceWeight, StoreSpec, WeightTarget,
+    PromptSegment, RequestLimits, RouteKind, RouteRow, ServiceRow, ServiceWeight, StoreSpec, WeightTarget,
 };
 pub use endpoint_copy::{EndpointCopy, pack, unpack};
 pub use endpoint_rest::{EndpointRest, RestChange};
--- a/crates/decide/src/fleet/peer_table.rs
+++ b/crates/decide/src/fleet/peer_table.rs
@@ -8,7 +8,7 @@
 //! be asked, and two VMs that disagree for a moment only tell some things twice. In a small deployment
 //! everyone tells everyone: it is fresher, and costs little.
 
-use crate::admit::PART_KEPT_MILLIS;
+use crate::admit::SHARE_RETENTION_MILLIS;
 use crate::{ListStanding, ShareRight, VmKey};
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
@@ -163,7 +163,7 @@
         let Some(row) = self.rows.get_mut(&key) else { return };
         row.listed = false;
         let data_centre = row.entry.data_centre.clone();
-        self.left.insert(key, LeftRow { data_centre, part_until: now.after_millis(PART_KEPT_MILLIS) });
+        self.left.insert(key, LeftRow { data_centre, part_until: now.after_millis(SHARE_RETENTION_MILLIS) });
         if !row.is_heard_within(HEARD_MILLIS, now) {
             self.rows.remove(&key);
         }
--- a/crates/decide/src/kept/index_reporter.rs
+++ b/crates/decide/src/kept/index_reporter.rs
@@ -34,7 +34,7 @@
     pub fn next(
         &mut self,
         table: &mut FleetTable,
-        parts_most: usize,
+        max_segments: usize,
         is_full_index_due: bool,
         now: Moment,
     ) -> ToldBooks {
@@ -43,7 +43,7 @@
         let turn = stores.iter().position(|store| *store > self.last).unwrap_or(0);
         stores.rotate_left(turn);
         let mut told = ToldBooks::default();
-        let mut left = parts_most;
+        let mut left = max_segments;
         for store in &stores {
             let Some(row) = table.store_mut(*store) else { continue };
             let changes = row.take_untold(*store, left);
@@ -63,7 +63,7 @@
     }
 
     /// Adds parts of the book whose turn it is to a message that names all stores.
-    fn tell_book(&mut self, table: &mut FleetTable, told: &mut ToldBooks, parts_most: usize) {
+    fn tell_book(&mut self, table: &mut FleetTable, told: &mut ToldBooks, max_segments: usize) {
         // In the order of names, whatever the order of this message.
         told.rows.sort_by_key(|row| row.store);
         let chosen = self.books % told.rows.len();
@@ -72,7 +72,7 @@
         if let Some(book) = table.store_mut(row.store) {
             // Changes come last: they are newer than any part of the book.
             let changes = std::mem::take(&mut row.parts);
-            row.parts = book.next_parts(parts_most);
+            row.parts = book.next_segments(max_segments);
             row.parts.extend(changes);
         }
     }
--- a/crates/decide/src/kept/kept_parts.rs
+++ b/crates/decide/src/kept/kept_parts.rs
@@ -8,7 +8,7 @@
 //! An engine keeps some tens of parts and a VM believes something of each engine: a short list that is searched through
 //! takes a fifth of the memory of a map and its order, and no more time.
 
-use crate::PromptPart;
+use crate::PromptSegment;
 use crate::salted_key;
 
 /// Parts believed kept, with the least recently used one first to go.
@@ -33,11 +33,11 @@
     /// assert_eq!(kept.leading(&parts, 7), 2);
     /// assert_eq!(kept.leading(&parts, 8), 0);
     /// ```
-    pub fn leading(&self, parts: &[PromptPart], salt: u64) -> usize {
+    pub fn leading(&self, parts: &[PromptSegment], salt: u64) -> usize {
         if self.rows.is_empty() {
             return 0;
         }
-        let is_kept = |part: &&PromptPart| {
+        let is_kept = |part: &&PromptSegment| {
             let key = salted_key(part.key, salt);
             self.rows.iter().any(|(other, _)| *other == key)
         };
@@ -45,7 +45,7 @@
     }
 
     /// Notes that `parts` were just used, and forgets what exceeds `room` tokens.
-    pub fn note(&mut self, parts: &[PromptPart], salt: u64, room: u64) {
+    pub fn note(&mut self, parts: &[PromptSegment], salt: u64, room: u64) {
         // The first part is used by most others: it is marked last, so that it goes last.
         for part in parts.iter().rev() {
             let key = salted_key(part.key, salt);
--- a/crates/decide/src/kept/kept_plan.rs
+++ b/crates/decide/src/kept/kept_plan.rs
@@ -7,7 +7,7 @@
 //! to an engine, which stands in one.
 
 use crate::salted_key;
-use crate::{EndpointKey, FleetTable, HomeRegions, PromptPart, StoreRow};
+use crate::{EndpointKey, FleetTable, HomeRegions, PromptSegment, StoreRow};
 use spanfold_entity::Moment;
 
 /// Cost of reading a token again that could have been taken from elsewhere, in microseconds: such
@@ -41,7 +41,7 @@
 
 impl KeptPlan {
     /// Stores that parts are moved from, with the tokens of each.
-    pub fn moves<'a>(&'a self, parts: &'a [PromptPart]) -> impl Iterator<Item = (EndpointKey, u64)> + 'a {
+    pub fn moves<'a>(&'a self, parts: &'a [PromptSegment]) -> impl Iterator<Item = (EndpointKey, u64)> + 'a {
         let mut tokens_before = 0;
         self.fetches.iter().zip(parts).filter_map(move |(store, part)| {
             let kept = tokens_before < self.kept_tokens;
@@ -53,10 +53,10 @@
 
 /// The stores that hold each part of a prompt.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PartHolders(Vec<Vec<EndpointKey>>);
+pub(crate) struct SegmentHolders(Vec<Vec<EndpointKey>>);
 
-impl PartHolders {
-    pub(crate) fn find(table: &FleetTable, parts: &[PromptPart], salt: u64, now: Moment) -> Self {
+impl SegmentHolders {
+    pub(crate) fn find(table: &FleetTable, parts: &[PromptSegment], salt: u64, now: Moment) -> Self {
         let holders = parts.iter().map(|part| {
             let key = salted_key(part.key, salt);
             let holding = table.stores().filter(|(_, row)| row.holds(key, part.tokens, now));
@@ -71,13 +71,13 @@
 ///
 /// It is the same for all of them, so it is found once for each data centre and not for each engine.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PartMoves(Vec<Option<(EndpointKey, f64)>>);
+pub(crate) struct SegmentTransfers(Vec<Option<(EndpointKey, f64)>>);
 
-impl PartMoves {
+impl SegmentTransfers {
     pub(crate) fn find(
         table: &FleetTable,
-        holders: &PartHolders,
-        parts: &[PromptPart],
+        holders: &SegmentHolders,
+        parts: &[PromptSegment],
         data_centre: &str,
         now: Moment,
     ) -> Self {
@@ -104,8 +104,8 @@
 /// Plans what an engine that keeps the first `kept_count` parts takes of the others from stores; where each comes
 /// from is left to [`plan_fetches`], which only the engine that is chosen needs.
 pub(crate) fn plan_kept(
-    moves: &PartMoves,
-    parts: &[PromptPart],
+    moves: &SegmentTransfers,
+    parts: &[PromptSegment],
     kept_count: usize,
     terms: MoveTerms,
 ) -> KeptPlan {
@@ -132,8 +132,8 @@
 /// Where each part may be taken from: those believed kept too, since the belief may be wrong, and of the others
 /// all before the first one that is not worth moving.
 pub(crate) fn plan_fetches(
-    moves: &PartMoves,
-    parts: &[PromptPart],
+    moves: &SegmentTransfers,
+    parts: &[PromptSegment],
     kept_count: usize,
     terms: MoveTerms,
 ) -> Vec<Option<EndpointKey>> {
@@ -146,7 +146,7 @@
     stores.collect()
 }
 
-fn is_moved(nearest: Option<(EndpointKey, f64)>, part: &PromptPart, terms: MoveTerms) -> bool {
+fn is_moved(nearest: Option<(EndpointKey, f64)>, part: &PromptSegment, terms: MoveTerms) -> bool {
     nearest.is_some_and(|(_, micros)| is_worth_moving(micros, u64::from(part.tokens), terms))
 }
 
@@ -169,12 +169,12 @@
 pub(crate) fn plan_saves(
     table: &FleetTable,
     place: SavePlace<'_>,
-    parts: &[PromptPart],
+    parts: &[PromptSegment],
     salt: u64,
     now: Moment,
 ) -> Vec<Option<EndpointKey>> {
     let shared = parts.len().saturating_sub(1);
-    let target = |part: &PromptPart| {
+    let target = |part: &PromptSegment| {
         let key = salted_key(part.key, salt);
         if table.stores().any(|(_, row)| row.has_or_awaits(key, now)) {
             return None;
--- a/crates/decide/src/kept/old_parts.rs
+++ b/crates/decide/src/kept/outdated_segments.rs
@@ -19,16 +19,16 @@
 /// assert_eq!(old_parts(&news, "m", 2), [("shared.m.1".to_owned(), "7".to_owned())]);
 /// assert!(old_parts(&news, "m", 1).is_empty());
 /// ```
-pub fn old_parts(news: &CacheUpdate, model: &str, version: u64) -> Vec<(String, String)> {
+pub fn outdated_segments(news: &CacheUpdate, model: &str, version: u64) -> Vec<(String, String)> {
     let made_by = |salt: &str| salt_version(salt).filter(|(other, _)| *other == model).map(|(_, made)| made);
     let is_old = |salt: &str| made_by(salt).is_some_and(|made| made < version);
     let renewed: HashSet<&str> = news
         .changes
         .iter()
         .filter(|change| !is_old(&change.salt))
-        .map(|change| change.part_text.as_str())
+        .map(|change| change.segment_text.as_str())
         .collect();
-    let held = news.changes.iter().map(|change| (&change.salt, &change.part_text));
+    let held = news.changes.iter().map(|change| (&change.salt, &change.segment_text));
     let broken = news.broken.iter().map(|(salt, part)| (salt, part));
     held.chain(broken)
         .filter(|(salt, part)| is_old(salt) && !renewed.contains(part.as_str()))
--- a/crates/decide/src/kept/poll_schedule.rs
+++ b/crates/decide/src/kept/poll_schedule.rs
@@ -10,7 +10,7 @@
 /// How long a call is held back where few ask, in milliseconds.
 const HELD_MOST_MILLIS: u64 = 400;
 /// Part of the calls that a store holds back which is used: leads do not ask evenly.
-const USED_PART: f64 = 0.6;
+const USABLE_FRACTION: f64 = 0.6;
 /// Shortest rest after a call, in milliseconds, so that one call brings several changes.
 const REST_LEAST_MILLIS: u64 = 100;
 /// What a store told counts for so many rounds, in case one fails.
@@ -37,7 +37,7 @@
     /// assert_eq!(NewsRhythm::new(91, 12), NewsRhythm { held_millis: 250, rest_millis: 2_910 });
     /// ```
     pub fn new(askers: usize, calls: u32) -> Self {
-        let used = (f64::from(calls) * USED_PART).max(1.0);
+        let used = (f64::from(calls) * USABLE_FRACTION).max(1.0);
         let crowded = askers as f64 > 2.0 * used;
         let held_millis = if crowded { HELD_LEAST_MILLIS } else { HELD_MOST_MILLIS };
         let round = askers as f64 * held_millis as f64 / used;
--- a/crates/decide/src/kept/store_row.rs
+++ b/crates/decide/src/kept/store_row.rs
@@ -156,7 +156,7 @@
     }
 
     /// At most so many of the parts held, going on where the last ones ended.
-    pub fn next_parts(&mut self, most: usize) -> Vec<(u64, u32)> {
+    pub fn next_segments(&mut self, most: usize) -> Vec<(u64, u32)> {
         let from = self.told_to % self.parts.len().max(1);
         let count = most.min(self.parts.len());
         self.told_to = from + count;
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -23,20 +23,22 @@
 pub use admit::{
     AdmissionVerdict, AdmissionView, BlockedCounts, BudgetTerms, ColdTerms, HeldBytes, HolderId,
     ListStanding, PlacementChoice, PlacementRequest, QueueOrder, RateTerms, RecentSends, RetryBudget,
-    ShareOutlook, ShareQueue, ShareRight, ShareVerdict, ShareView, place, salt_text, salt_version, take_part,
+    ShareOutlook, ShareQueue, ShareRight, ShareVerdict, ShareView, claim_probability, place, salt_text,
+    salt_version,
 };
 pub(crate) use fleet::SharedWeights;
 pub use fleet::{
     AccountRow, CacheUpdate, CloseReporter, ColdSpec, DeploymentConfig, EndpointCopy, EndpointEntry,
     EndpointKey, EndpointRest, EndpointRow, EngineReport, EngineSpec, FleetCounts, FleetSweep, FleetTable,
     HomeRegions, KeptChange, LEADS, LimitChange, LimitReport, LinkMoves, LoadCount, LoadSource, NamedLimit,
-    PIECE_BYTES, PIECES_LIMIT, PeerHeartbeat, PeerTable, PromptPart, PropagationPlan, ReassemblyProgress,
+    PIECE_BYTES, PIECES_LIMIT, PeerHeartbeat, PeerTable, PromptSegment, PropagationPlan, ReassemblyProgress,
     RequestLimits, RestChange, RouteKind, RouteRow, RouteTable, SendOutcome, SendReport, ServiceRow,
     ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec, UpdateFragment, UpdateHistory,
     UpdateReassembly, VmEntry, VmKey, WeightTarget, pack, pick_target, short_digest, split_update, unpack,
 };
 pub use kept::{
-    IndexReporter, KeptParts, KeptPlan, KeptRow, PollSchedule, StoreRow, ToldBooks, old_parts, salted_key,
+    IndexReporter, KeptParts, KeptPlan, KeptRow, PollSchedule, StoreRow, ToldBooks, outdated_segments,
+    salted_key,
 };
 pub use quarantine::{
     CrashLedger, CrashVerdict, ENDINGS_LEAST, EndingReport, EndpointEnding, HeldRequest, HoldPhase,
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -7,8 +7,8 @@
 
 use spanfold_decide::{
     AdmissionVerdict, AdmissionView, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable,
-    HomeRegions, LoadCount, PlacementChoice, PlacementRequest, PromptPart, ServiceRow, ShareView,
-    VersionSplit, place, take_part,
+    HomeRegions, LoadCount, PlacementChoice, PlacementRequest, PromptSegment, ServiceRow, ShareView,
+    VersionSplit, claim_probability, place,
 };
 use spanfold_entity::Moment;
 use std::collections::{BTreeMap, VecDeque};
@@ -64,8 +64,8 @@
     table
 }
 
-fn choose(table: &FleetTable, memory_part: f64, now: Moment) -> PlacementChoice {
-    let parts = [PromptPart { key: 1, tokens: PROMPT as u32 }];
+fn choose(table: &FleetTable, memory_fraction: f64, now: Moment) -> PlacementChoice {
+    let parts = [PromptSegment { key: 1, tokens: PROMPT as u32 }];
     let ask = PlacementRequest {
         service: "llm",
         data_centre: "dc-a",
@@ -77,7 +77,7 @@
         bytes: 0,
         model: None,
         wanted: None,
-        memory_part,
+        memory_fraction,
         wall: "shared",
         exclude: &[],
         versions: &VersionSplit::Any,
@@ -169,7 +169,7 @@
         }
         for received in std::mem::take(&mut line) {
             let view = view(received);
-            let choice = choose(&table, if admits { view.memory_part(now) } else { 1.0 }, now);
+            let choice = choose(&table, if admits { view.memory_fraction(now) } else { 1.0 }, now);
             match view.admit(&choice, now) {
                 AdmissionVerdict::Wait if admits => line.push_back(received),
                 AdmissionVerdict::Refuse(_) if admits => outcome.refused += 1,
@@ -244,18 +244,18 @@
 #[test]
 fn urgent_prompts_and_those_in_time_may_fill_more_memory() {
     let urgent = AdmissionView { rank: 0, ..view(0) };
-    assert!(urgent.memory_part(Moment(0)) > view(0).memory_part(Moment(0)));
+    assert!(urgent.memory_fraction(Moment(0)) > view(0).memory_fraction(Moment(0)));
     let late = Moment(0).after_millis(OBJECTIVE_MILLIS);
-    assert!(view(0).memory_part(Moment(0)) > view(0).memory_part(late));
+    assert!(view(0).memory_fraction(Moment(0)) > view(0).memory_fraction(late));
     // The least urgent still may fill an engine.
-    assert!(AdmissionView { rank: 9, ..view(0) }.memory_part(Moment(0)) >= 1.0);
+    assert!(AdmissionView { rank: 9, ..view(0) }.memory_fraction(Moment(0)) >= 1.0);
 }
 
 #[test]
 fn many_vms_that_see_the_same_room_do_not_all_take_it() {
     // Each of 82 VMs has a prompt waiting when room for a few is told: all of them sending is what the lot prevents.
-    assert!(take_part(82) * 82.0 < 5.0);
+    assert!(claim_probability(82) * 82.0 < 5.0);
     // Few VMs need few more looks: three on average, of 20 ms each.
-    assert!(take_part(9) > 1.0 / 3.0);
-    assert!((take_part(0) - 1.0).abs() < f64::EPSILON);
+    assert!(claim_probability(9) > 1.0 / 3.0);
+    assert!((claim_probability(0) - 1.0).abs() < f64::EPSILON);
 }
--- a/crates/decide/tests/endpoint_answers.rs
+++ b/crates/decide/tests/endpoint_answers.rs
@@ -48,7 +48,7 @@
         bytes: 100,
         model: None,
         wanted: None,
-        memory_part: 1.0,
+        memory_fraction: 1.0,
         homes: HomeRegions::default(),
         wall: "shared",
         exclude,
--- a/crates/decide/tests/endpoint_sample.rs
+++ b/crates/decide/tests/endpoint_sample.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
     DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions, PlacementRequest,
-    PromptPart, ServiceRow, ShareView, VersionSplit, place, salt_text, short_digest,
+    PromptSegment, ServiceRow, ShareView, VersionSplit, place, salt_text, short_digest,
 };
 use spanfold_entity::Moment;
 use std::cell::RefCell;
@@ -46,7 +46,7 @@
     table
 }
 
-fn ask<'a>(parts: &'a [PromptPart], exclude: &'a [EndpointKey]) -> PlacementRequest<'a> {
+fn ask<'a>(parts: &'a [PromptSegment], exclude: &'a [EndpointKey]) -> PlacementRequest<'a> {
     PlacementRequest {
         service: "llm",
         data_centre: "dc-1",
@@ -58,7 +58,7 @@
         bytes: 9_000,
         model: Some("m"),
         wanted: None,
-        memory_part: 1.0,
+        memory_fraction: 1.0,
         homes: HomeRegions::default(),
         wall: "shared",
         exclude,
@@ -70,7 +70,7 @@
 
 /// The most of 200 prompts, placed by VMs that have not heard of one another, at one engine; three keep their first part.
 fn most_at_one(engines: usize) -> usize {
-    let parts = [PromptPart { key: 1, tokens: 2_500 }, PromptPart { key: 2, tokens: 6_500 }];
+    let parts = [PromptSegment { key: 1, tokens: 2_500 }, PromptSegment { key: 2, tokens: 6_500 }];
     let mut table = table(engines);
     let salt = short_digest(&salt_text("shared", "m", 1));
     for number in [1, 6, 11] {
@@ -96,7 +96,7 @@
 
 #[test]
 fn an_engine_outside_the_sample_is_found_when_no_other_is_left() {
-    let parts = [PromptPart { key: 1, tokens: 9_000 }];
+    let parts = [PromptSegment { key: 1, tokens: 9_000 }];
     let mut table = table(2_000);
     let only = EndpointKey::of("i-1003");
     for number in (0..2_000).filter(|number| *number != 1_003) {
--- a/crates/decide/tests/engine_starts.rs
+++ b/crates/decide/tests/engine_starts.rs
@@ -3,12 +3,13 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use spanfold_decide::{
-    EndpointEntry, EndpointKey, FleetTable, LoadCount, LoadSource, PromptPart, SendOutcome, SendReport, VmKey,
+    EndpointEntry, EndpointKey, FleetTable, LoadCount, LoadSource, PromptSegment, SendOutcome, SendReport,
+    VmKey,
 };
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
 
-const PARTS: [PromptPart; 1] = [PromptPart { key: 5, tokens: 100 }];
+const PARTS: [PromptSegment; 1] = [PromptSegment { key: 5, tokens: 100 }];
 
 fn at(millis: u64) -> Moment {
     Moment(millis * 1_000)
--- a/crates/decide/tests/kept.rs
+++ b/crates/decide/tests/kept.rs
@@ -2,13 +2,13 @@
 
 use spanfold_decide::{
     CacheUpdate, DeploymentConfig, EndpointKey, FleetTable, IndexReporter, KeptChange, LoadSource,
-    PollSchedule, ServiceRow, StoreRow, StoreSpec, VmKey, old_parts, short_digest,
+    PollSchedule, ServiceRow, StoreRow, StoreSpec, VmKey, outdated_segments, short_digest,
 };
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
 
 fn change(salt: &str, part: u64, tokens: u32) -> KeptChange {
-    KeptChange { salt: salt.to_owned(), part, part_text: part.to_string(), tokens }
+    KeptChange { salt: salt.to_owned(), part, segment_text: part.to_string(), tokens }
 }
 
 fn news(incarnation: u64, changes: Vec<KeptChange>) -> CacheUpdate {
@@ -36,13 +36,13 @@
     // Seen once at cvmpw-fleet on a day of our own: a part was freed while a move of it was under way.
     let listed =
         news(1, vec![change("shared.m.1", 7, 9), change("shared.m.2", 7, 9), change("shared.m.1", 8, 9)]);
-    assert_eq!(old_parts(&listed, "m", 2), [("shared.m.1".to_owned(), "8".to_owned())]);
+    assert_eq!(outdated_segments(&listed, "m", 2), [("shared.m.1".to_owned(), "8".to_owned())]);
 }
 
 #[test]
 fn parts_of_other_models_and_foreign_texts_are_not_freed() {
     let listed = news(1, vec![change("shared.n.1", 7, 9), change("somebody", 8, 9), change("a.b", 9, 9)]);
-    assert!(old_parts(&listed, "m", 9).is_empty());
+    assert!(outdated_segments(&listed, "m", 9).is_empty());
 }
 
 #[test]
@@ -50,7 +50,7 @@
     let mut listed = news(1, Vec::new());
     listed.broken =
         vec![("shared.m.1".to_owned(), "5".to_owned()), ("shared.m.2".to_owned(), "6".to_owned())];
-    assert_eq!(old_parts(&listed, "m", 2), [("shared.m.1".to_owned(), "5".to_owned())]);
+    assert_eq!(outdated_segments(&listed, "m", 2), [("shared.m.1".to_owned(), "5".to_owned())]);
 }
 
 #[test]
@@ -158,7 +158,7 @@
     let mut row = store(1_000_000);
     row.replace(&news(1, (1..=1_990).map(|part| change("s", part, 9)).collect()), Moment(9));
     let told: std::collections::BTreeSet<u64> =
-        (0..3).flat_map(|_| row.next_parts(1_000)).map(|(part, _)| part).collect();
+        (0..3).flat_map(|_| row.next_segments(1_000)).map(|(part, _)| part).collect();
     assert_eq!(told.len(), 1_990);
 }
 
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -2,7 +2,7 @@
 
 use spanfold_decide::{
     CacheUpdate, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions,
-    KeptChange, LoadCount, LoadSource, PlacementChoice, PlacementRequest, PromptPart, SendOutcome,
+    KeptChange, LoadCount, LoadSource, PlacementChoice, PlacementRequest, PromptSegment, SendOutcome,
     ServiceRow, ShareView, StoreSpec, VersionSplit, VmKey, WantedWeights, place,
 };
 use spanfold_entity::Moment;
@@ -54,10 +54,10 @@
     table(&[entry("i-1", "dc-a", 1), entry("i-2", "dc-a", 1)])
 }
 
-const PARTS: [PromptPart; 3] = [
-    PromptPart { key: 1, tokens: 2_500 },
-    PromptPart { key: 2, tokens: 5_000 },
-    PromptPart { key: 3, tokens: 1_500 },
+const PARTS: [PromptSegment; 3] = [
+    PromptSegment { key: 1, tokens: 2_500 },
+    PromptSegment { key: 2, tokens: 5_000 },
+    PromptSegment { key: 3, tokens: 1_500 },
 ];
 
 fn ask() -> PlacementRequest<'static> {
@@ -72,7 +72,7 @@
         bytes: 18_000,
         model: Some("m"),
         wanted: None,
-        memory_part: 1.0,
+        memory_fraction: 1.0,
         wall: "shared",
         exclude: &[],
         versions: &VersionSplit::Any,
@@ -114,7 +114,7 @@
     let choice = chosen(&table, &ask());
     assert_eq!((choice.key, choice.excess_tokens), (key("i-2"), 0));
     // Whoever may fill more of the memory finds room there.
-    let choice = chosen(&table, &PlacementRequest { memory_part: 1.15, ..ask() });
+    let choice = chosen(&table, &PlacementRequest { memory_fraction: 1.15, ..ask() });
     assert_eq!((choice.key, choice.excess_tokens), (key("i-1"), 0));
     table.take(key("i-2"), load(0, MEMORY), &[], 0);
     assert_eq!(chosen(&table, &ask()).excess_tokens, 9_010 - 5_000);
@@ -191,7 +191,7 @@
     let salted = |part, tokens| KeptChange {
         salt: "shared.m.1".to_owned(),
         part,
-        part_text: part.to_string(),
+        segment_text: part.to_string(),
         tokens,
     };
     let news = CacheUpdate {
@@ -217,7 +217,7 @@
 fn a_part_behind_a_gap_is_not_moved() {
     let mut table = two();
     let second =
-        KeptChange { salt: "shared.m.1".to_owned(), part: 2, part_text: "2".to_owned(), tokens: 5_000 };
+        KeptChange { salt: "shared.m.1".to_owned(), part: 2, segment_text: "2".to_owned(), tokens: 5_000 };
     let news = CacheUpdate { incarnation: 1, changes: vec![second], ..CacheUpdate::default() };
     table.store_mut(key("kept")).unwrap().replace(&news, NOW.after_millis(1_000));
     let choice = chosen(&table, &ask());
@@ -236,7 +236,7 @@
     let part = |part: u64, tokens| KeptChange {
         salt: "shared.m.1".to_owned(),
         part,
-        part_text: part.to_string(),
+        segment_text: part.to_string(),
         tokens,
     };
     let changes = vec![part(1, 2_500), part(2, 5_000)];
--- a/crates/decide/tests/rollout.rs
+++ b/crates/decide/tests/rollout.rs
@@ -126,7 +126,7 @@
         let route = self.rng.random_range(1..=3_u64);
         let mut draw = TestDraw { number: self.rng.random(), has_slack: false };
         let right = &self.rights[vm];
-        let part = |key, terms: &RateTerms| right.part_of_all(key, terms);
+        let part = |key, terms: &RateTerms| right.share_of_total(key, terms);
         let splits = self.vms[vm].splits("desk", &TERMS, &mut draw, |_, _| Some(u64::MAX), part);
         let is_target = matches!(splits[0], VersionSplit::Only(_) | VersionSplit::Tested(..))
             || (splits[0] == VersionSplit::Any && seen.phase == RolloutPhase::Succeeded);
--- a/crates/decide/tests/table_memory.rs
+++ b/crates/decide/tests/table_memory.rs
@@ -2,7 +2,7 @@
 //!
 //! A process of its own, so that nothing else allocates meanwhile.
 
-use spanfold_decide::{EndpointEntry, FleetTable, LoadCount, LoadSource, PromptPart, VmKey};
+use spanfold_decide::{EndpointEntry, FleetTable, LoadCount, LoadSource, PromptSegment, VmKey};
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
 
     let listed = resident_bytes();
     let keys: Vec<_> = table.rows().map(|(key, _)| key).collect();
-    let parts: Vec<_> = (0..6).map(|number| PromptPart { key: number, tokens: 500 }).collect();
+    let parts: Vec<_> = (0..6).map(|number| PromptSegment { key: number, tokens: 500 }).collect();
     let load = LoadCount { running: 1, unread_tokens: 100, memory_tokens: 200 };
     for (number, key) in keys.iter().enumerate() {
         table.take(*key, load, &parts, number as u64);
--- a/crates/decide/tests/told_health.rs
+++ b/crates/decide/tests/told_health.rs
@@ -4,7 +4,8 @@
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
     DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions, LoadCount,
-    PlacementRequest, PromptPart, SendOutcome, SendReport, ServiceRow, ShareView, VersionSplit, VmKey, place,
+    PlacementRequest, PromptSegment, SendOutcome, SendReport, ServiceRow, ShareView, VersionSplit, VmKey,
+    place,
 };
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
@@ -125,7 +126,7 @@
 const STEP_MILLIS: u64 = 20;
 
 fn choose(table: &FleetTable, now: Moment) -> usize {
-    let parts = [PromptPart { key: 1, tokens: 1_700 }];
+    let parts = [PromptSegment { key: 1, tokens: 1_700 }];
     let ask = PlacementRequest {
         service: "llm",
         data_centre: "dc-a",
@@ -137,7 +138,7 @@
         bytes: 0,
         model: None,
         wanted: None,
-        memory_part: 1.0,
+        memory_fraction: 1.0,
         wall: "shared",
         exclude: &[],
         versions: &VersionSplit::Any,
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -4,7 +4,7 @@
 //! function is pure, so that a stand-in and the real platform meet the same code.
 
 use crate::{
-    AnswerFacts, CacheUpdate, DeploymentConfig, EndpointEntry, EngineReport, PromptPart, RolloutOrder,
+    AnswerFacts, CacheUpdate, DeploymentConfig, EndpointEntry, EngineReport, PromptSegment, RolloutOrder,
     RolloutPhase, StoreEvent, StoreItem, StorePosition, WeightTarget,
 };
 use hyper::header::{HeaderMap, HeaderName};
@@ -46,7 +46,7 @@
     /// Tokens of the prompt and tokens that may be generated.
     pub token_usage: HeaderName,
     /// The prompt's parts.
-    pub prompt_parts: HeaderName,
+    pub prompt_segments: HeaderName,
     /// Text under which an engine shares cached parts.
     pub cache_salt: HeaderName,
     /// Version of the weights that a request is meant for.
@@ -255,7 +255,7 @@
     /// Frees parts, given as salt and part, if the store's incarnation is still the given one.
     pub free: fn(&[(String, String)], u64) -> WireCall,
     /// Writes one address for each part of a prompt, where there is one.
-    pub part_addresses: fn(&[Option<SocketAddr>]) -> String,
+    pub segment_addresses: fn(&[Option<SocketAddr>]) -> String,
 }
 
 /// Why an endpoint's entry, or what it says of itself, names no endpoint to use.
@@ -310,7 +310,7 @@
     /// Writes what operators read of such a move: how far it has come, and to which version.
     pub rollout_status: fn(RolloutPhase, &str) -> Vec<u8>,
     /// Reads the prompt's parts from their header.
-    pub prompt_parts: fn(&str) -> Option<Vec<PromptPart>>,
+    pub prompt_segments: fn(&str) -> Option<Vec<PromptSegment>>,
     /// Reads tokens of the prompt and tokens that may be generated.
     pub token_usage: fn(&str) -> Option<(u32, u32)>,
     /// Decodes the head of an endpoint's answer.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -36,7 +36,7 @@
 pub use requests::event_reader::{EventError, EventReader};
 pub use spanfold_decide::{
     AccountRow, CacheUpdate, ColdSpec, DeploymentConfig, EndpointEntry, EndpointKey, EngineReport,
-    EngineSpec, KeptChange, PromptPart, RequestLimits, RolloutOrder, RolloutPhase, RouteKind, RouteRow,
+    EngineSpec, KeptChange, PromptSegment, RequestLimits, RolloutOrder, RolloutPhase, RouteKind, RouteRow,
     ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec, WeightTarget, salt_text,
 };
 pub(crate) use spanfold_decide::{
@@ -50,6 +50,6 @@
     RolloutAnswer, RolloutReason, RolloutRecord, RolloutRun, RolloutStep, RolloutTable, RouteCounts,
     RouteTable, SendOutcome, SendReport, ShareQueue, ShareRight, ShareVerdict, ShareView, SumKey, TestDraw,
     UpdateFragment, UpdateHistory, UpdateReassembly, VersionSplit, VmEntry, VmKey, WantedWeights,
-    WeightScheduler, WeightStep, old_parts, pack, pick_target, place, salted_key, short_digest, split_update,
-    take_part, unpack,
+    WeightScheduler, WeightStep, claim_probability, outdated_segments, pack, pick_target, place, salted_key,
+    short_digest, split_update, unpack,
 };
--- a/crates/gateway/src/orders/free_task.rs
+++ b/crates/gateway/src/orders/free_task.rs
@@ -7,7 +7,7 @@
 //! Which parts those are is decided by [`old_parts`].
 
 use crate::gateway::Gateway;
-use crate::old_parts;
+use crate::outdated_segments;
 use crate::store::call_link::{CallLink, CallReply};
 use crate::store::lease_keeper::OrderRight;
 use crate::{EndpointKey, StoreSpec};
@@ -115,7 +115,7 @@
             return false;
         }
     };
-    let parts = old_parts(&news, model, version);
+    let parts = outdated_segments(&news, model, version);
     let mut is_done = true;
     for some in parts.chunks(PARTS_MOST) {
         let call = (kept.free)(some, news.incarnation);
--- a/crates/gateway/src/peers/kept_digest.rs
+++ b/crates/gateway/src/peers/kept_digest.rs
@@ -45,12 +45,12 @@
     fn take(
         gateway: &Gateway,
         teller: &mut IndexReporter,
-        parts_most: usize,
+        max_segments: usize,
         is_full_index_due: bool,
     ) -> (Self, bool) {
         let now = gateway.now();
         let clock_millis = gateway.engine_clock_at(now);
-        let told = teller.next(&mut gateway.table(), parts_most, is_full_index_due, now);
+        let told = teller.next(&mut gateway.table(), max_segments, is_full_index_due, now);
         (Self { clock_millis, rows: told.rows }, told.is_partial)
     }
 
@@ -87,7 +87,7 @@
 }
 
 /// Parts that one digest may tell to so many VMs over a link of `link_mbps` without taking more than its share.
-fn parts_most(targets: usize, link_mbps: f64) -> usize {
+fn max_segments(targets: usize, link_mbps: f64) -> usize {
     let bytes = link_mbps * 1e6 / 8.0 * LINK_SHARE * GATHER_PAUSE.as_secs_f64();
     let parts = bytes as usize / (targets.max(1) * PART_BYTES);
     parts.clamp(PARTS_LEAST, PARTS_MOST)
@@ -113,7 +113,7 @@
             is_partial = false;
             continue;
         }
-        let parts = parts_most(targets.len(), gateway.settings.link_mbps);
+        let parts = max_segments(targets.len(), gateway.settings.link_mbps);
         let digest;
         (digest, is_partial) = KeptDigest::take(&gateway, &mut teller, parts, is_full_index_due);
         let message = PeerMessage::Kept(gateway.next_stamp(), digest);
--- a/crates/gateway/src/peers/placed_note.rs
+++ b/crates/gateway/src/peers/placed_note.rs
@@ -1,7 +1,7 @@
 //! What a VM tells others of a request that it placed.
 
 use crate::salted_key;
-use crate::{EndpointKey, FleetTable, PlacementChoice, PromptPart};
+use crate::{EndpointKey, FleetTable, PlacementChoice, PromptSegment};
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
 
@@ -26,7 +26,7 @@
     }
 
     /// The note of a choice that was made for a prompt of `parts`.
-    pub(crate) fn new(choice: &PlacementChoice, parts: &[PromptPart]) -> Self {
+    pub(crate) fn new(choice: &PlacementChoice, parts: &[PromptSegment]) -> Self {
         let saves = choice.kept.saves.iter().take(PARTS_MOST).enumerate();
         let saves = saves.filter_map(|(place, store)| Some((u8::try_from(place).ok()?, (*store)?)));
         Self {
@@ -39,7 +39,7 @@
 
     /// Tells a table what the placement brings: parts at the engine, and on their way to stores.
     pub(crate) fn apply(&self, table: &mut FleetTable, now: Moment) {
-        let parts = self.prompt_parts();
+        let parts = self.prompt_segments();
         table.record_segments(self.key, &parts, self.salt);
         for (place, store) in &self.saves {
             if let Some(part) = parts.get(usize::from(*place))
@@ -50,7 +50,7 @@
         }
     }
 
-    fn prompt_parts(&self) -> Vec<PromptPart> {
-        self.parts.iter().map(|(key, tokens)| PromptPart { key: *key, tokens: *tokens }).collect()
+    fn prompt_segments(&self) -> Vec<PromptSegment> {
+        self.parts.iter().map(|(key, tokens)| PromptSegment { key: *key, tokens: *tokens }).collect()
     }
 }
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -17,7 +17,7 @@
 use crate::salted_key;
 use crate::{
     AdmissionVerdict, EndpointKey, FleetTable, PlacementChoice, PlacementRequest, SendOutcome, ShareVerdict,
-    ShareView, TestDraw, VersionSplit, salt_text, short_digest, take_part,
+    ShareView, TestDraw, VersionSplit, claim_probability, salt_text, short_digest,
 };
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -152,7 +152,7 @@
     /// Whether a prompt that waited takes the room that it sees, or leaves it to another VM's.
     fn draws_room(&self) -> bool {
         let vms = self.gateway.peers().listed_count();
-        rand::random::<f64>() < take_part(vms)
+        rand::random::<f64>() < claim_probability(vms)
     }
 
     fn choose(&mut self) -> Option<PlaceResult> {
@@ -180,7 +180,7 @@
             bytes: self.body.len(),
             model,
             wanted: wanted.as_ref(),
-            memory_part: admission.map_or(1.0, |view| view.memory_part(gateway.now())),
+            memory_fraction: admission.map_or(1.0, |view| view.memory_fraction(gateway.now())),
             homes: routes.homes(&ticket.host, &ticket.path, ticket.account.as_deref()),
             wall: &ticket.wall,
             exclude: &self.tried,
@@ -332,7 +332,7 @@
     /// Says where the engine may take parts from, and where it is to save them.
     fn set_moves(&self, choice: &PlacementChoice, set: &mut impl FnMut(&HeaderName, &[u8])) {
         let names = &self.gateway.dialect.headers;
-        let write = self.gateway.dialect.kept.part_addresses;
+        let write = self.gateway.dialect.kept.segment_addresses;
         let now = self.gateway.now();
         let mut table = self.gateway.table();
         let address = |table: &FleetTable, store: Option<EndpointKey>| {
--- a/crates/gateway/src/requests/request_ticket.rs
+++ b/crates/gateway/src/requests/request_ticket.rs
@@ -6,7 +6,7 @@
 use crate::gateway::Gateway;
 use crate::pick_target;
 use crate::requests::own_answer::OwnAnswer;
-use crate::{AccountRow, AdmissionView, HeaderNames, PromptPart, RouteKind, RouteRow};
+use crate::{AccountRow, AdmissionView, HeaderNames, PromptSegment, RouteKind, RouteRow};
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
@@ -47,7 +47,7 @@
     pub wall: String,
     pub priority: u8,
     pub model: Option<String>,
-    pub parts: Vec<PromptPart>,
+    pub parts: Vec<PromptSegment>,
     pub prompt_tokens: u32,
     pub output_tokens: u32,
     pub config_version: u64,
@@ -84,7 +84,7 @@
         let wall = account
             .filter(|account| account.isolated)
             .map_or_else(|| SHARED_WALL.to_owned(), |account| format!("account:{}", account.name));
-        let parts = text(headers, &names.prompt_parts).and_then(gateway.dialect.decode.prompt_parts);
+        let parts = text(headers, &names.prompt_segments).and_then(gateway.dialect.decode.prompt_segments);
         let usage = text(headers, &names.token_usage).and_then(gateway.dialect.decode.token_usage);
         let (prompt_tokens, output_tokens) = usage.unwrap_or_default();
         let priority = account.and_then(|account| account.priority).unwrap_or(route.priority);
@@ -159,7 +159,7 @@
     let mut forwarded = headers.clone();
     // Names listed in the Connection header belong to that connection, too, but not those that say
     // what the request is: a caller could have it run as another one.
-    let essential = [&names.request_id, &names.model, &names.token_usage, &names.prompt_parts];
+    let essential = [&names.request_id, &names.model, &names.token_usage, &names.prompt_segments];
     for listed in headers.get_all(CONNECTION) {
         for name in listed.to_str().unwrap_or_default().split(',').map(str::trim) {
             if !essential.iter().any(|essential| essential.as_str().eq_ignore_ascii_case(name)) {
--- a/crates/gateway/src/rollout/rollout_desk.rs
+++ b/crates/gateway/src/rollout/rollout_desk.rs
@@ -126,7 +126,7 @@
             &self.exposure_terms(),
             draw,
             |target, share| self.table().last_tested(service, target, share, now),
-            |key, terms| self.sharing_right().map_or(0, |right| right.part_of_all(key, terms)),
+            |key, terms| self.sharing_right().map_or(0, |right| right.share_of_total(key, terms)),
         )
     }
 
