--- a/crates/decide/src/admit/held_bytes.rs
+++ b/crates/decide/src/admit/held_bytes.rs
@@ -10,14 +10,14 @@
 
 /// One that holds bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct HolderId(u64);
+pub struct ReservationId(u64);
 
 /// What one holder has.
 #[derive(Clone, Copy, Debug, Default)]
 struct HolderRow {
     bytes: u64,
     /// Whether it may be ended: its work has not begun, or nobody waits for it.
-    may_end: bool,
+    is_evictable: bool,
 }
 
 /// All holders.
@@ -25,7 +25,7 @@
 pub struct HeldBytes {
     most: u64,
     total: u64,
-    rows: BTreeMap<HolderId, HolderRow>,
+    rows: BTreeMap<ReservationId, HolderRow>,
     next: u64,
 }
 
@@ -41,10 +41,10 @@
     }
 
     /// A new holder, which may be ended.
-    pub fn begin(&mut self) -> HolderId {
-        let id = HolderId(self.next);
+    pub fn begin(&mut self) -> ReservationId {
+        let id = ReservationId(self.next);
         self.next += 1;
-        self.rows.insert(id, HolderRow { bytes: 0, may_end: true });
+        self.rows.insert(id, HolderRow { bytes: 0, is_evictable: true });
         id
     }
 
@@ -60,13 +60,13 @@
     /// assert_eq!(held.grow(other, 70), [other]);
     /// assert_eq!(held.total(), 0);
     /// ```
-    pub fn grow(&mut self, id: HolderId, bytes: u64) -> Vec<HolderId> {
+    pub fn grow(&mut self, id: ReservationId, bytes: u64) -> Vec<ReservationId> {
         let Some(row) = self.rows.get_mut(&id) else { return Vec::new() };
         row.bytes += bytes;
         self.total += bytes;
         let mut ended = Vec::new();
         while self.total > self.most {
-            let largest = self.rows.iter().filter(|(other, row)| row.may_end || **other == id);
+            let largest = self.rows.iter().filter(|(other, row)| row.is_evictable || **other == id);
             let Some(largest) = largest.max_by_key(|(_, row)| row.bytes).map(|(id, _)| *id) else { break };
             self.end(largest);
             ended.push(largest);
@@ -75,7 +75,7 @@
     }
 
     /// A holder holds `bytes` less.
-    pub fn shrink(&mut self, id: HolderId, bytes: u64) {
+    pub fn shrink(&mut self, id: ReservationId, bytes: u64) {
         let Some(row) = self.rows.get_mut(&id) else { return };
         let bytes = bytes.min(row.bytes);
         row.bytes -= bytes;
@@ -83,14 +83,14 @@
     }
 
     /// A holder is not ended any more, since its work begins.
-    pub fn settle(&mut self, id: HolderId) {
+    pub fn settle(&mut self, id: ReservationId) {
         if let Some(row) = self.rows.get_mut(&id) {
-            row.may_end = false;
+            row.is_evictable = false;
         }
     }
 
     /// A holder holds nothing any more.
-    pub fn end(&mut self, id: HolderId) {
+    pub fn end(&mut self, id: ReservationId) {
         if let Some(row) = self.rows.remove(&id) {
             self.total -= row.bytes;
         }
--- a/crates/decide/src/admit/mod.rs
+++ b/crates/decide/src/admit/mod.rs
@@ -11,7 +11,7 @@
 
 pub use admission::{AdmissionVerdict, AdmissionView, claim_probability};
 pub use blocked_counts::BlockedCounts;
-pub use held_bytes::{HeldBytes, HolderId};
+pub use held_bytes::{HeldBytes, ReservationId};
 pub(crate) use placement::candidates;
 pub use placement::{PlacementChoice, PlacementRequest, ShareView, place, salt_text, salt_version};
 pub use retry_budget::{BudgetTerms, RetryBudget};
--- a/crates/decide/src/fleet/fleet_entries.rs
+++ b/crates/decide/src/fleet/fleet_entries.rs
@@ -144,7 +144,7 @@
     }
 
     /// Goes on holding entries that lapsed, because the store is still in trouble.
-    pub fn extend_holds(&mut self, now: Moment, until: Moment) {
+    pub fn extend_grace(&mut self, now: Moment, until: Moment) {
         for row in self.rows.values_mut() {
             if let Some(hold) = &mut row.missing_until
                 && now < *hold
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -21,8 +21,8 @@
 mod weights;
 
 pub use admit::{
-    AdmissionVerdict, AdmissionView, BlockedCounts, BudgetTerms, ColdTerms, HeldBytes, HolderId,
-    ListStanding, PlacementChoice, PlacementRequest, QueueOrder, RateTerms, RecentSends, RetryBudget,
+    AdmissionVerdict, AdmissionView, BlockedCounts, BudgetTerms, ColdTerms, HeldBytes, ListStanding,
+    PlacementChoice, PlacementRequest, QueueOrder, RateTerms, RecentSends, ReservationId, RetryBudget,
     ShareOutlook, ShareQueue, ShareRight, ShareVerdict, ShareView, claim_probability, place, salt_text,
     salt_version,
 };
@@ -41,9 +41,9 @@
     salted_key,
 };
 pub use quarantine::{
-    CrashLedger, CrashVerdict, ENDINGS_LEAST, EndingReport, EndpointEnding, HeldRequest, HoldPhase,
-    IdentityKey, KeyTextError, QuarantineChange, QuarantineMessage, QuarantineTable, RequestIdentity,
-    RequestKey, RequestQuarantine,
+    CrashLedger, CrashVerdict, ENDINGS_LEAST, EndingReport, EndpointEnding, IdentityKey, KeyTextError,
+    QuarantineChange, QuarantineMessage, QuarantinePhase, QuarantineTable, QuarantinedRequest,
+    RequestIdentity, RequestKey, RequestQuarantine,
 };
 pub use rollout::{
     AnswerCounts, ExposureTerms, RolloutAnswer, RolloutEvidence, RolloutOrder, RolloutPhase, RolloutReason,
--- a/crates/decide/src/quarantine/mod.rs
+++ b/crates/decide/src/quarantine/mod.rs
@@ -10,6 +10,6 @@
 pub use crash_ledger::{CrashLedger, CrashVerdict, ENDINGS_LEAST};
 pub use ending::{EndingReport, EndpointEnding};
 pub use quarantine_message::QuarantineMessage;
-pub use quarantine_table::{HeldRequest, HoldPhase, QuarantineTable};
+pub use quarantine_table::{QuarantinePhase, QuarantineTable, QuarantinedRequest};
 pub use request_key::{IdentityKey, KeyTextError, RequestIdentity, RequestKey};
 pub use request_quarantine::{QuarantineChange, RequestQuarantine};
--- a/crates/decide/src/quarantine/quarantine_table.rs
+++ b/crates/decide/src/quarantine/quarantine_table.rs
@@ -22,7 +22,7 @@
 
 /// How far a hold is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HoldPhase {
+pub enum QuarantinePhase {
     /// The request is turned away.
     Held,
     /// It may run again; one end begins the next hold.
@@ -33,13 +33,13 @@
 
 /// One request that is or was held back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldRequest {
+pub struct QuarantinedRequest {
     /// Which hold of this request it is, counted from one.
     pub round: u32,
     /// Endpoints that had ended under it.
     pub endings: u32,
     /// How far it is.
-    pub phase: HoldPhase,
+    pub phase: QuarantinePhase,
     /// When the present phase ends.
     pub until: Moment,
     /// When this VM writes it into the store, or removes it there if it was lifted; never once that is done.
@@ -51,7 +51,7 @@
 /// All requests that are or were held back.
 #[derive(Debug, Default)]
 pub struct QuarantineTable {
-    rows: BTreeMap<RequestKey, HeldRequest>,
+    rows: BTreeMap<RequestKey, QuarantinedRequest>,
 }
 
 impl QuarantineTable {
@@ -61,14 +61,14 @@
     }
 
     /// All rows.
-    pub fn rows(&self) -> impl Iterator<Item = (RequestKey, &HeldRequest)> {
+    pub fn rows(&self) -> impl Iterator<Item = (RequestKey, &QuarantinedRequest)> {
         self.rows.iter().map(|(request, row)| (*request, row))
     }
 
     /// The hold of a request, if it is turned away now.
-    pub fn held(&self, request: RequestKey, now: Moment) -> Option<HeldRequest> {
+    pub fn held(&self, request: RequestKey, now: Moment) -> Option<QuarantinedRequest> {
         let row = self.rows.get(&request)?;
-        (row.phase == HoldPhase::Held && now < row.until).then_some(*row)
+        (row.phase == QuarantinePhase::Held && now < row.until).then_some(*row)
     }
 
     /// Whether anything is known of a request.
@@ -78,7 +78,7 @@
 
     /// Whether one end is enough to hold a request back.
     pub fn is_on_trial(&self, request: RequestKey) -> bool {
-        self.rows.get(&request).is_some_and(|row| row.phase == HoldPhase::Trial)
+        self.rows.get(&request).is_some_and(|row| row.phase == QuarantinePhase::Trial)
     }
 
     /// Begins a hold; gives its number, or none if the request is held already or there is no room.
@@ -88,9 +88,11 @@
         }
         let round = self.rows.get(&request).map_or(0, |row| row.round) + 1;
         let until = now.after_millis(HOLD_MILLIS);
-        let phase = HoldPhase::Held;
-        self.rows
-            .insert(request, HeldRequest { round, endings, phase, until, write_at: now, turned_away: 0 });
+        let phase = QuarantinePhase::Held;
+        self.rows.insert(
+            request,
+            QuarantinedRequest { round, endings, phase, until, write_at: now, turned_away: 0 },
+        );
         Some(round)
     }
 
@@ -106,10 +108,10 @@
         let until = until.min(now.after_millis(HOLD_MILLIS));
         if let Some(row) = self.rows.get_mut(&request).filter(|row| row.round >= round) {
             if row.round == round {
-                if row.phase == HoldPhase::Held {
+                if row.phase == QuarantinePhase::Held {
                     row.until = row.until.min(until);
                 }
-                if is_stored && row.phase == HoldPhase::Held {
+                if is_stored && row.phase == QuarantinePhase::Held {
                     row.write_at = Moment::NEVER;
                 }
             }
@@ -119,8 +121,9 @@
             return false;
         }
         let write_at = if is_stored { Moment::NEVER } else { now.after_millis(WRITE_AFTER_MILLIS) };
-        let phase = HoldPhase::Held;
-        self.rows.insert(request, HeldRequest { round, endings, phase, until, write_at, turned_away: 0 });
+        let phase = QuarantinePhase::Held;
+        self.rows
+            .insert(request, QuarantinedRequest { round, endings, phase, until, write_at, turned_away: 0 });
         true
     }
 
@@ -132,8 +135,8 @@
     }
 
     fn lift_here(&mut self, request: RequestKey, now: Moment) -> Option<u32> {
-        let row = self.rows.get_mut(&request).filter(|row| row.phase != HoldPhase::Lifted)?;
-        row.phase = HoldPhase::Lifted;
+        let row = self.rows.get_mut(&request).filter(|row| row.phase != QuarantinePhase::Lifted)?;
+        row.phase = QuarantinePhase::Lifted;
         row.until = now.after_millis(HOLD_MILLIS);
         row.write_at = Moment::NEVER;
         Some(row.round)
@@ -146,9 +149,9 @@
             Some(_) => false,
             None => {
                 // What the store still says of this hold must not begin it here.
-                let (phase, until) = (HoldPhase::Lifted, now.after_millis(HOLD_MILLIS));
+                let (phase, until) = (QuarantinePhase::Lifted, now.after_millis(HOLD_MILLIS));
                 if self.has_capacity(request) {
-                    let row = HeldRequest {
+                    let row = QuarantinedRequest {
                         round,
                         endings: 0,
                         phase,
@@ -178,12 +181,12 @@
     }
 
     /// Moves rows whose time is over to what follows; gives the holds that ended.
-    pub fn sweep(&mut self, now: Moment) -> Vec<(RequestKey, HeldRequest)> {
+    pub fn sweep(&mut self, now: Moment) -> Vec<(RequestKey, QuarantinedRequest)> {
         let mut ended = Vec::new();
         for (request, row) in &mut self.rows {
-            if row.phase == HoldPhase::Held && now >= row.until {
+            if row.phase == QuarantinePhase::Held && now >= row.until {
                 ended.push((*request, *row));
-                row.phase = HoldPhase::Trial;
+                row.phase = QuarantinePhase::Trial;
                 row.until = row.until.after_millis(TRIAL_MILLIS);
                 row.write_at = Moment::NEVER;
             }
@@ -193,21 +196,21 @@
     }
 
     /// A row that is to be written into the store now, or removed there if its hold was lifted.
-    pub fn due_write(&self, now: Moment) -> Option<(RequestKey, HeldRequest)> {
+    pub fn due_write(&self, now: Moment) -> Option<(RequestKey, QuarantinedRequest)> {
         let mut due = self.rows.iter().filter(|(_, row)| now >= row.write_at);
         due.next().map(|(request, row)| (*request, *row))
     }
 
     /// Has all holds written anew: the store may have lost them.
     pub fn write_all_again(&mut self) {
-        for row in self.rows.values_mut().filter(|row| row.phase == HoldPhase::Held) {
+        for row in self.rows.values_mut().filter(|row| row.phase == QuarantinePhase::Held) {
             row.write_at = Moment(0);
         }
     }
 
     /// Notes what came of writing `written` into the store, or of removing it: it is done again after `write_at`. What
     /// became of the row meanwhile is written anew.
-    pub fn record_written(&mut self, request: RequestKey, written: &HeldRequest, write_at: Moment) {
+    pub fn record_written(&mut self, request: RequestKey, written: &QuarantinedRequest, write_at: Moment) {
         let row = self.rows.get_mut(&request);
         if let Some(row) = row.filter(|row| (row.round, row.phase) == (written.round, written.phase)) {
             row.write_at = write_at;
@@ -215,8 +218,8 @@
     }
 
     /// The row to tell other VMs again after that of `told`, each in turn.
-    pub fn next_to_tell(&self, told: Option<RequestKey>) -> Option<(RequestKey, HeldRequest)> {
-        let is_told = |row: &HeldRequest| row.phase != HoldPhase::Trial;
+    pub fn next_to_tell(&self, told: Option<RequestKey>) -> Option<(RequestKey, QuarantinedRequest)> {
+        let is_told = |row: &QuarantinedRequest| row.phase != QuarantinePhase::Trial;
         let after = self.rows.iter().filter(|(request, row)| is_told(row) && Some(**request) > told);
         let next = after.min_by_key(|(request, _)| **request);
         let next = next.or_else(|| self.rows.iter().find(|(_, row)| is_told(row)));
@@ -228,7 +231,7 @@
         if self.rows.len() < HELD_LIMIT || self.rows.contains_key(&request) {
             return true;
         }
-        let idle = self.rows.iter().filter(|(_, row)| row.phase != HoldPhase::Held);
+        let idle = self.rows.iter().filter(|(_, row)| row.phase != QuarantinePhase::Held);
         let idle = idle.min_by_key(|(_, row)| row.until).map(|(request, _)| *request);
         idle.is_some_and(|idle| self.rows.remove(&idle).is_some())
     }
--- a/crates/decide/src/quarantine/request_quarantine.rs
+++ b/crates/decide/src/quarantine/request_quarantine.rs
@@ -4,8 +4,8 @@
 //! taken over by the others without their having seen any of it.
 
 use crate::{
-    CrashLedger, CrashVerdict, ENDINGS_LEAST, EndingReport, EndpointEnding, HeldRequest, HoldPhase,
-    QuarantineMessage, QuarantineTable, RequestKey,
+    CrashLedger, CrashVerdict, ENDINGS_LEAST, EndingReport, EndpointEnding, QuarantineMessage,
+    QuarantinePhase, QuarantineTable, QuarantinedRequest, RequestKey,
 };
 
 use spanfold_entity::Moment;
@@ -89,7 +89,7 @@
     /// assert!(quarantine.held(request, Moment(999)).is_some());
     /// assert!(quarantine.held(request, Moment(1_000)).is_none());
     /// ```
-    pub fn held(&self, request: RequestKey, now: Moment) -> Option<HeldRequest> {
+    pub fn held(&self, request: RequestKey, now: Moment) -> Option<QuarantinedRequest> {
         self.book.held(request, now)
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// All requests that are or were held back.
-    pub fn rows(&self) -> impl Iterator<Item = (RequestKey, &HeldRequest)> {
+    pub fn rows(&self) -> impl Iterator<Item = (RequestKey, &QuarantinedRequest)> {
         self.book.rows()
     }
 
@@ -137,17 +137,17 @@
     }
 
     /// When the next request is to be judged; never if none is.
-    pub fn judge_at(&self) -> Moment {
+    pub fn next_evaluation_at(&self) -> Moment {
         self.unjudged.values().copied().min().unwrap_or(Moment::NEVER)
     }
 
     /// When this request is to be judged, if it is.
-    pub fn judge_at_of(&self, request: RequestKey) -> Option<Moment> {
+    pub fn evaluation_at_of(&self, request: RequestKey) -> Option<Moment> {
         self.unjudged.get(&request).copied()
     }
 
     /// Judges the requests whose time has come; gives what changes.
-    pub fn judge_due(&mut self, now: Moment) -> Vec<QuarantineChange> {
+    pub fn evaluate_due(&mut self, now: Moment) -> Vec<QuarantineChange> {
         let due: Vec<_> =
             self.unjudged.iter().filter(|(_, at)| now >= **at).map(|(request, _)| *request).collect();
         let mut changes = Vec::new();
@@ -213,7 +213,7 @@
     }
 
     /// A row that is to be written into the store now, or removed there if its hold was lifted.
-    pub fn due_write(&self, now: Moment) -> Option<(RequestKey, HeldRequest)> {
+    pub fn due_write(&self, now: Moment) -> Option<(RequestKey, QuarantinedRequest)> {
         self.book.due_write(now)
     }
 
@@ -223,12 +223,12 @@
     }
 
     /// Notes when a row is to be written or removed again: never if that is done.
-    pub fn record_written(&mut self, request: RequestKey, written: &HeldRequest, write_at: Moment) {
+    pub fn record_written(&mut self, request: RequestKey, written: &QuarantinedRequest, write_at: Moment) {
         self.book.record_written(request, written, write_at);
     }
 
     /// Drops what is over; gives the holds that ended.
-    pub fn sweep(&mut self, now: Moment) -> Vec<(RequestKey, HeldRequest)> {
+    pub fn sweep(&mut self, now: Moment) -> Vec<(RequestKey, QuarantinedRequest)> {
         self.ledger.sweep(now);
         self.book.sweep(now)
     }
@@ -281,7 +281,7 @@
 
     /// Lifts holds whose ends are all put down to other requests by now.
     fn lift_innocent(&mut self, now: Moment) -> Vec<QuarantineChange> {
-        let held = self.book.rows().filter(|(_, row)| row.phase == HoldPhase::Held);
+        let held = self.book.rows().filter(|(_, row)| row.phase == QuarantinePhase::Held);
         let innocent = held.filter(|(request, _)| {
             let verdict = self.ledger.verdict(*request);
             verdict.endings > 0 && verdict.counted == 0
@@ -296,11 +296,11 @@
 }
 
 /// What is told of a row: its hold, or that it was lifted.
-fn note_of(request: RequestKey, row: &HeldRequest, now: Moment) -> QuarantineMessage {
-    let HeldRequest { round, endings, until, .. } = *row;
+fn note_of(request: RequestKey, row: &QuarantinedRequest, now: Moment) -> QuarantineMessage {
+    let QuarantinedRequest { round, endings, until, .. } = *row;
     match row.phase {
-        HoldPhase::Lifted => QuarantineMessage::Lifted { request, round },
-        HoldPhase::Held | HoldPhase::Trial => {
+        QuarantinePhase::Lifted => QuarantineMessage::Lifted { request, round },
+        QuarantinePhase::Held | QuarantinePhase::Trial => {
             QuarantineMessage::Held { request, round, endings, rest_micros: until.micros_since(now) }
         }
     }
--- a/crates/decide/tests/fleet_table.rs
+++ b/crates/decide/tests/fleet_table.rs
@@ -34,7 +34,7 @@
     table.miss_entry("i-1", at(2_300));
     assert_eq!(leaving(&table, "i-1", at(100)), Some(false));
     // The store is still in trouble: the hold goes on.
-    table.extend_holds(at(2_000), at(4_300));
+    table.extend_grace(at(2_000), at(4_300));
     table.sweep(at(3_000));
     assert_eq!(leaving(&table, "i-1", at(3_000)), Some(false));
     table.apply_entry(entry("i-1", 1), Moment(0));
@@ -48,7 +48,7 @@
     table.miss_entry("i-1", Moment(0));
     assert_eq!(leaving(&table, "i-1", at(1)), Some(true));
     // A hold that is over is not extended.
-    table.extend_holds(at(1), at(5_000));
+    table.extend_grace(at(1), at(5_000));
     assert_eq!(leaving(&table, "i-1", at(2)), Some(true));
     assert_eq!(table.sweep(at(3)).gone, [EndpointKey::of("i-1")]);
     assert!(!table.apply_entry(entry("i-1", 1), Moment(0)));
--- a/crates/decide/tests/held_bytes.rs
+++ b/crates/decide/tests/held_bytes.rs
@@ -1,7 +1,7 @@
 //! Bytes held for slow callers and endpoints, over random histories.
 
 use proptest::prelude::*;
-use spanfold_decide::{HeldBytes, HolderId};
+use spanfold_decide::{HeldBytes, ReservationId};
 
 const MOST: u64 = 40_000;
 
@@ -30,7 +30,7 @@
     fn the_bound_holds_and_those_that_hold_most_end(steps in prop::collection::vec(step(), 1..400)) {
         let mut held = HeldBytes::new(MOST);
         // What each holder has by the test's own count; none once it has ended.
-        let mut model: Vec<(HolderId, Option<u64>, bool)> = Vec::new();
+        let mut model: Vec<(ReservationId, Option<u64>, bool)> = Vec::new();
         for step in steps {
             match step {
                 Step::Begin => model.push((held.begin(), Some(0), true)),
@@ -40,8 +40,8 @@
                     for ended in held.grow(id, bytes) {
                         let row = model.iter_mut().find(|row| row.0 == ended).unwrap();
                         let had = row.1.take().unwrap();
-                        let may_end = row.2;
-                        prop_assert!(may_end || ended == id);
+                        let is_evictable = row.2;
+                        prop_assert!(is_evictable || ended == id);
                         // Nobody that may end holds more than the one that was ended.
                         let others = model.iter().filter(|row| row.2).filter_map(|row| row.1);
                         prop_assert!(others.max().unwrap_or(0) <= had);
--- a/crates/decide/tests/request_quarantine.rs
+++ b/crates/decide/tests/request_quarantine.rs
@@ -3,8 +3,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
-    EndingReport, EndpointEnding, EndpointKey, HoldPhase, IdentityKey, QuarantineChange, QuarantineMessage,
-    QuarantineTable, RequestIdentity, RequestKey, RequestQuarantine,
+    EndingReport, EndpointEnding, EndpointKey, IdentityKey, QuarantineChange, QuarantineMessage,
+    QuarantinePhase, QuarantineTable, RequestIdentity, RequestKey, RequestQuarantine,
 };
 use spanfold_entity::Moment;
 
@@ -26,8 +26,8 @@
 
 /// Judges what came at `at`.
 fn judge(quarantine: &mut RequestQuarantine, at: Moment) -> Vec<QuarantineChange> {
-    assert_eq!(quarantine.judge_due(at), Vec::new());
-    quarantine.judge_due(Moment(at.0 + SETTLE))
+    assert_eq!(quarantine.evaluate_due(at), Vec::new());
+    quarantine.evaluate_due(Moment(at.0 + SETTLE))
 }
 
 /// Takes the ends of three endpoints under request 1, the last at `at`; gives what changed.
@@ -118,7 +118,7 @@
                 to.apply_quarantine_message(&note, Moment(now.0 + SECOND / 2));
             }
         }
-        to.judge_due(Moment(now.0 + SECOND));
+        to.evaluate_due(Moment(now.0 + SECOND));
     }
 }
 
@@ -184,7 +184,7 @@
         let older = EndingReport { age_micros: 90_000, ..report(2, 10 + row, at) };
         quarantine.take_report(&older, at);
         quarantine.take_report(&report(1, 10 + row, at), at);
-        quarantine.judge_due(Moment(at.0 + SETTLE));
+        quarantine.evaluate_due(Moment(at.0 + SETTLE));
     }
     let at = Moment(104 * SECOND);
     assert!(is_held(&quarantine, 1, at) && !is_held(&quarantine, 2, at));
@@ -230,7 +230,7 @@
     quarantine.record_written(due, &row, Moment::NEVER);
     quarantine.take_stored(due, (row.round, row.endings), at);
     let (due, row) = quarantine.due_write(at).unwrap();
-    assert_eq!((due, row.phase), (request(1), HoldPhase::Lifted));
+    assert_eq!((due, row.phase), (request(1), QuarantinePhase::Lifted));
     quarantine.record_written(due, &row, Moment::NEVER);
     assert_eq!(quarantine.due_write(Moment(at.0 + SECOND)), None);
 }
@@ -244,7 +244,7 @@
     assert_eq!(book.hold(request(1_000), 3, Moment(1_000)), None);
     book.lift(request(5), Moment(2_000));
     assert_eq!(book.hold(request(1_000), 3, Moment(3_000)), Some(1));
-    assert_eq!(book.rows().filter(|(_, row)| row.phase == HoldPhase::Held).count(), 512);
+    assert_eq!(book.rows().filter(|(_, row)| row.phase == QuarantinePhase::Held).count(), 512);
 }
 
 #[test]
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -217,7 +217,7 @@
     /// their endpoints live.
     pub(crate) fn note_store_trouble(&self, at: Moment) {
         self.store_trouble.fetch_max(at.0, Ordering::Relaxed);
-        self.table().extend_holds(self.now(), at.after_millis(RETURN_MILLIS));
+        self.table().extend_grace(self.now(), at.after_millis(RETURN_MILLIS));
     }
 
     /// How long ago a call to the store failed last, in microseconds, while it counts as trouble.
--- a/crates/gateway/src/memory/memory_desk.rs
+++ b/crates/gateway/src/memory/memory_desk.rs
@@ -1,6 +1,6 @@
 //! The bound on what is held, and those that hold it.
 
-use crate::{HeldBytes, HolderId};
+use crate::{HeldBytes, ReservationId};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 struct DeskState {
     held: HeldBytes,
-    ends: HashMap<HolderId, watch::Sender<bool>>,
+    ends: HashMap<ReservationId, watch::Sender<bool>>,
 }
 
 /// All bytes held.
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub(crate) struct HeldGuard {
     desk: MemoryDesk,
-    id: HolderId,
+    id: ReservationId,
     ended: watch::Receiver<bool>,
 }
 
--- a/crates/gateway/src/quarantine/quarantine_desk.rs
+++ b/crates/gateway/src/quarantine/quarantine_desk.rs
@@ -12,7 +12,8 @@
 use crate::operators::gateway_metrics::KindLabel;
 use crate::peers::load_digest::DigestScope;
 use crate::{
-    EndingReport, EndpointEnding, HeldRequest, HoldPhase, QuarantineChange, QuarantineMessage, RequestKey,
+    EndingReport, EndpointEnding, QuarantineChange, QuarantineMessage, QuarantinePhase, QuarantinedRequest,
+    RequestKey,
 };
 use crate::{RequestQuarantine, VmKey};
 use serde::{Deserialize, Serialize};
@@ -97,7 +98,7 @@
 
     /// Judges the requests whose evidence has settled.
     pub(crate) fn judge_requests(&self) {
-        let changes = self.desk().quarantine.judge_due(self.now());
+        let changes = self.desk().quarantine.evaluate_due(self.now());
         self.announce(&changes);
     }
 
@@ -211,7 +212,8 @@
     /// Tells others of a hold that began here: they may lack some of the evidence.
     fn tell_hold(&self, request: RequestKey, round: u32) {
         let now = self.now();
-        let Some(HeldRequest { endings, until, .. }) = self.desk().quarantine.held(request, now) else {
+        let Some(QuarantinedRequest { endings, until, .. }) = self.desk().quarantine.held(request, now)
+        else {
             return;
         };
         let note = QuarantineMessage::Held { request, round, endings, rest_micros: until.micros_since(now) };
@@ -231,10 +233,10 @@
 }
 
 /// A word for how far a hold is.
-const fn phase_word(phase: HoldPhase) -> &'static str {
+const fn phase_word(phase: QuarantinePhase) -> &'static str {
     match phase {
-        HoldPhase::Held => "held",
-        HoldPhase::Trial => "trial",
-        HoldPhase::Lifted => "lifted",
+        QuarantinePhase::Held => "held",
+        QuarantinePhase::Trial => "trial",
+        QuarantinePhase::Lifted => "lifted",
     }
 }
--- a/crates/gateway/src/quarantine/quarantine_task.rs
+++ b/crates/gateway/src/quarantine/quarantine_task.rs
@@ -7,7 +7,7 @@
 use crate::operators::gateway_metrics::KindLabel;
 use crate::quarantine::quarantine_desk::StoredHold;
 use crate::store::store_link::StoreLink;
-use crate::{HeldRequest, HoldPhase, RequestKey, StoreRefusal, StoreTransaction};
+use crate::{QuarantinePhase, QuarantinedRequest, RequestKey, StoreRefusal, StoreTransaction};
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 pub(crate) async fn judge_holds(gateway: Arc<Gateway>) {
     let mut sweep_at = Moment(0);
     loop {
-        let wake = gateway.desk().quarantine.judge_at().min(sweep_at);
+        let wake = gateway.desk().quarantine.next_evaluation_at().min(sweep_at);
         tokio::select! {
             () = gateway.evidence_came.notified() => {}
             () = gateway.until(wake) => {}
@@ -46,7 +46,7 @@
     let (ended, held) = {
         let mut desk = gateway.desk();
         let ended = desk.quarantine.sweep(now);
-        (ended, desk.quarantine.rows().filter(|(_, row)| row.phase == HoldPhase::Held).count())
+        (ended, desk.quarantine.rows().filter(|(_, row)| row.phase == QuarantinePhase::Held).count())
     };
     gateway.metrics.held_requests.set(held as i64);
     for (request, row) in ended {
@@ -78,9 +78,9 @@
             let now = self.gateway.now();
             let Some((request, row)) = self.gateway.desk().quarantine.due_write(now) else { return };
             let is_done = match row.phase {
-                HoldPhase::Held => self.write(request, &row).await,
-                HoldPhase::Trial => true,
-                HoldPhase::Lifted => self.remove(request).await,
+                QuarantinePhase::Held => self.write(request, &row).await,
+                QuarantinePhase::Trial => true,
+                QuarantinePhase::Lifted => self.remove(request).await,
             };
             let again = if is_done { Moment::NEVER } else { self.gateway.now().after_millis(RETRY_MILLIS) };
             self.gateway.desk().quarantine.record_written(request, &row, again);
@@ -88,7 +88,7 @@
     }
 
     /// Writes a hold under a lease of its own; whether it stands in the store, or a later one does.
-    async fn write(&mut self, request: RequestKey, row: &HeldRequest) -> bool {
+    async fn write(&mut self, request: RequestKey, row: &QuarantinedRequest) -> bool {
         let dialect = self.gateway.dialect.store;
         let rest_millis = row.until.micros_since(self.gateway.now()) / MICROS_PER_MILLI;
         let grant = (dialect.grant)(rest_millis.max(LEASE_LEAST_MILLIS));
--- a/crates/gateway/src/requests/request_run.rs
+++ b/crates/gateway/src/requests/request_run.rs
@@ -181,9 +181,9 @@
             // The sender is gone once the endpoint has ended: that is an answer, too.
             let _ = answer.wait_for(|asked| *asked).await;
         }
-        let judge_at = self.gateway.desk().quarantine.judge_at_of(key);
-        if let Some(judge_at) = judge_at {
-            self.gateway.until(judge_at).await;
+        let next_evaluation_at = self.gateway.desk().quarantine.evaluation_at_of(key);
+        if let Some(next_evaluation_at) = next_evaluation_at {
+            self.gateway.until(next_evaluation_at).await;
             self.gateway.judge_requests();
         }
     }
