--- a/crates/decide/src/admit/shared_rate.rs
+++ b/crates/decide/src/admit/shared_rate.rs
@@ -191,7 +191,7 @@
     /// All other VMs that may.
     pub all: Vec<VmKey>,
     /// The other data centres where such VMs stand.
-    pub far_centres: BTreeSet<String>,
+    pub remote_data_centres: BTreeSet<String>,
 }
 
 impl ShareRight {
@@ -243,7 +243,7 @@
             is_fresh: true,
             near: Vec::new(),
             all: Vec::new(),
-            far_centres: BTreeSet::new(),
+            remote_data_centres: BTreeSet::new(),
         }
     }
 
@@ -251,7 +251,7 @@
     fn senders(&self, data_centre: &str) -> Option<&[VmKey]> {
         if data_centre == self.data_centre {
             Some(&self.near)
-        } else if self.far_centres.contains(data_centre) {
+        } else if self.remote_data_centres.contains(data_centre) {
             None
         } else {
             Some(&self.all)
--- a/crates/decide/src/fleet/endpoint_row.rs
+++ b/crates/decide/src/fleet/endpoint_row.rs
@@ -81,9 +81,9 @@
     /// This VM, which orders the change.
     Own,
     /// A VM of this data centre.
-    Near,
+    Local,
     /// A VM of another data centre.
-    Far,
+    Remote,
 }
 
 /// One endpoint.
--- a/crates/decide/src/fleet/fleet_loads.rs
+++ b/crates/decide/src/fleet/fleet_loads.rs
@@ -81,7 +81,7 @@
     }
 
     /// What the VMs of other data centres have in flight, as their leads told; idle endpoints are left out.
-    pub fn far_loads(&self, now: Moment) -> Vec<(EndpointKey, LoadCount)> {
+    pub fn remote_loads(&self, now: Moment) -> Vec<(EndpointKey, LoadCount)> {
         let busy = self.told_by(|source| matches!(source, LoadSource::DataCentre(_))).collect();
         self.loads_at(busy, |row| row.peers.sum_far(now))
     }
--- a/crates/decide/src/fleet/fleet_weights.rs
+++ b/crates/decide/src/fleet/fleet_weights.rs
@@ -30,10 +30,10 @@
     }
 
     /// The same, as told by the VM that orders the change or by one that passes it on.
-    pub fn cordon_as_reported(&mut self, key: EndpointKey, until: Moment, is_near: bool) {
+    pub fn cordon_as_reported(&mut self, key: EndpointKey, until: Moment, is_local: bool) {
         if let Some(row) = self.rows.get_mut(&key) {
             row.closing_until = until;
-            row.closed_by = if is_near { CloseReporter::Near } else { CloseReporter::Far };
+            row.closed_by = if is_local { CloseReporter::Local } else { CloseReporter::Remote };
             self.changing.insert(key);
         }
     }
@@ -57,7 +57,7 @@
         key: EndpointKey,
         model_digest: u64,
         version: u64,
-        is_near: bool,
+        is_local: bool,
         now: Moment,
     ) {
         let Some(row) = self.rows.get_mut(&key) else { return };
@@ -70,7 +70,7 @@
             row.entry.weights = self.weights.share(Arc::clone(&row.entry.weights));
             row.kept.clear();
             row.closing_until = now;
-            let told = if is_near { &mut row.reported_weights_at } else { &mut row.remote_weights_at };
+            let told = if is_local { &mut row.reported_weights_at } else { &mut row.remote_weights_at };
             *told = Some(now);
             self.changing.insert(key);
         }
--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -38,7 +38,7 @@
 pub use fleet_table::{FleetCounts, FleetSweep, FleetTable};
 pub use home_regions::HomeRegions;
 pub use named_limit::{LimitChange, LimitReport, NamedLimit};
-pub use peer_table::{LEADS, PeerHeartbeat, PeerTable, VmEntry};
+pub use peer_table::{LEADERS_PER_DATA_CENTRE, PeerHeartbeat, PeerTable, VmEntry};
 pub use propagation_plan::PropagationPlan;
 pub use route_table::{RouteTable, pick_target};
 pub use send_report::SendReport;
--- a/crates/decide/src/fleet/peer_table.rs
+++ b/crates/decide/src/fleet/peer_table.rs
@@ -34,7 +34,7 @@
 /// A VM that was listed for the first time is expected to be heard within this time, in milliseconds.
 const EXPECTED_MILLIS: u64 = 1_200;
 /// Leads of a data centre that tell other data centres: the death of one costs freshness only.
-pub const LEADS: usize = 2;
+pub const LEADERS_PER_DATA_CENTRE: usize = 2;
 
 /// What a VM writes of itself into the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -231,27 +231,27 @@
     }
 
     /// Whether the leads of this data centre pass on what its VMs tell them.
-    pub fn relays_near(&self) -> bool {
+    pub fn relays_locally(&self) -> bool {
         !self.broadcasts_to_all()
             && self.rows.values().filter(|row| self.is_near_row(row)).count() >= MESH_MOST
     }
 
     /// Addresses of the other VMs that lead this data centre, or are expected to: what this VM tells of itself goes
     /// there where the leads pass it on.
-    pub fn near_leads(&self, now: Moment) -> Vec<SocketAddr> {
+    pub fn local_leaders(&self, now: Moment) -> Vec<SocketAddr> {
         let mut rows: Vec<_> =
             self.rows.values().filter(|row| self.is_near_row(row) && row.is_expected(now)).collect();
         rows.sort_by_key(|row| row.entry.lead_order());
-        rows.iter().take(LEADS).map(|row| row.entry.address).collect()
+        rows.iter().take(LEADERS_PER_DATA_CENTRE).map(|row| row.entry.address).collect()
     }
 
     /// Addresses of the other VMs of this data centre.
-    pub fn near_addresses(&self) -> Vec<SocketAddr> {
+    pub fn local_peer_addresses(&self) -> Vec<SocketAddr> {
         self.rows.values().filter(|row| self.is_near_row(row)).map(|row| row.entry.address).collect()
     }
 
     /// How many other VMs this data centre has.
-    pub fn near_count(&self) -> usize {
+    pub fn local_peer_count(&self) -> usize {
         self.near_entries().count()
     }
 
@@ -266,12 +266,12 @@
     }
 
     /// Whether a VM stands in this data centre.
-    pub fn is_near(&self, vm: VmKey) -> bool {
+    pub fn is_local(&self, vm: VmKey) -> bool {
         self.rows.get(&vm).is_some_and(|row| self.is_near_row(row))
     }
 
     /// The other VMs of this data centre.
-    pub fn near_vms(&self) -> BTreeSet<VmKey> {
+    pub fn local_vms(&self) -> BTreeSet<VmKey> {
         self.rows.iter().filter(|(_, row)| self.is_near_row(row)).map(|(key, _)| *key).collect()
     }
 
@@ -288,8 +288,8 @@
             right.all.push(vm);
             if data_centre == self.own.data_centre {
                 right.near.push(vm);
-            } else if !right.far_centres.contains(data_centre) {
-                right.far_centres.insert(data_centre.to_owned());
+            } else if !right.remote_data_centres.contains(data_centre) {
+                right.remote_data_centres.insert(data_centre.to_owned());
             }
         }
         right
@@ -328,7 +328,7 @@
     /// book.hear(VmKey::of("vm-2"), 1, 1, Moment(0));
     /// assert_eq!(book.lead_place(Moment(1)), 1);
     /// ```
-    pub fn lead_place(&self, now: Moment) -> usize {
+    pub fn leader_rank(&self, now: Moment) -> usize {
         let ahead = self.rows.values().filter(|row| {
             self.is_near_row(row)
                 && row.is_heard_within(SILENT_MILLIS, now)
@@ -339,7 +339,7 @@
 
     /// The same with VMs that were listed a short while ago and are expected to be heard: right after a start, all
     /// others are silent, and each VM would lead.
-    pub fn expected_place(&self, now: Moment) -> usize {
+    pub fn expected_leader_rank(&self, now: Moment) -> usize {
         let ahead = self.rows.values().filter(|row| {
             self.is_near_row(row) && row.is_expected(now) && row.entry.lead_order() < self.own.lead_order()
         });
@@ -380,13 +380,13 @@
     }
 
     /// Whether `vm`, of this data centre, goes before this one as a lead.
-    pub fn leads_before(&self, vm: VmKey) -> bool {
+    pub fn precedes_as_leader(&self, vm: VmKey) -> bool {
         let row = self.rows.get(&vm);
         row.is_some_and(|row| self.is_near_row(row) && row.entry.lead_order() < self.own.lead_order())
     }
 
     /// Addresses of the lead at `place` in each other data centre, as far as this VM can tell.
-    pub fn far_leads(&self, place: usize, now: Moment) -> Vec<SocketAddr> {
+    pub fn remote_leaders(&self, place: usize, now: Moment) -> Vec<SocketAddr> {
         let mut by_centre: BTreeMap<&str, Vec<&PeerRow>> = BTreeMap::new();
         for row in self.rows.values().filter(|row| !self.is_near_row(row)) {
             by_centre.entry(row.entry.data_centre.as_str()).or_default().push(row);
@@ -399,7 +399,7 @@
     }
 
     /// Other data centres with VMs in the book.
-    pub fn far_count(&self) -> usize {
+    pub fn remote_data_centre_count(&self) -> usize {
         let far = self.rows.values().filter(|row| !self.is_near_row(row));
         far.map(|row| row.entry.data_centre.as_str()).collect::<BTreeSet<_>>().len()
     }
--- a/crates/decide/tests/fleet_table.rs
+++ b/crates/decide/tests/fleet_table.rs
@@ -171,13 +171,14 @@
     ] {
         table.apply_peer_loads(source, &[(key, load(running))], Moment(0));
     }
-    let far: Vec<_> = table.far_loads(at(100)).into_iter().map(|(key, load)| (key, load.running)).collect();
+    let far: Vec<_> =
+        table.remote_loads(at(100)).into_iter().map(|(key, load)| (key, load.running)).collect();
     assert_eq!(far, [(key, 6)]);
     assert_eq!(table.row(key).unwrap().load(at(100)).running, 7);
     // A data centre that is silent is gone, and its requests with it.
-    assert!(table.far_loads(at(1_500)).is_empty());
+    assert!(table.remote_loads(at(1_500)).is_empty());
     // What a lead passed on is not passed on again.
     table.apply_peer_loads(LoadSource::Elsewhere, &[(key, load(6))], at(1_500));
-    assert!(table.far_loads(at(1_600)).is_empty());
+    assert!(table.remote_loads(at(1_600)).is_empty());
     assert_eq!(table.row(key).unwrap().load(at(1_600)).running, 6);
 }
--- a/crates/decide/tests/peer_table.rs
+++ b/crates/decide/tests/peer_table.rs
@@ -90,36 +90,36 @@
     let large = large_book();
     assert!(!large.broadcasts_to_all());
     assert_eq!(large.digest_targets().len(), 8);
-    assert_eq!(large.far_count(), 1);
+    assert_eq!(large.remote_data_centre_count(), 1);
 }
 
 #[test]
 fn vms_with_wide_links_lead_while_they_are_heard() {
     let mut book = large_book();
     // Nobody was heard yet: a VM that is alone leads.
-    assert_eq!(book.lead_place(at(0)), 0);
+    assert_eq!(book.leader_rank(at(0)), 0);
     for name in ["vm-a0", "vm-a1", "vm-a4", "vm-a8", "vm-b0"] {
         book.hear(VmKey::of(name), 1, 1, at(0));
     }
-    assert_eq!(book.lead_place(at(100)), 3);
-    assert!(book.leads_before(VmKey::of("vm-a1")));
-    assert!(!book.leads_before(VmKey::of("vm-a8")));
-    assert!(!book.leads_before(VmKey::of("vm-b0")));
+    assert_eq!(book.leader_rank(at(100)), 3);
+    assert!(book.precedes_as_leader(VmKey::of("vm-a1")));
+    assert!(!book.precedes_as_leader(VmKey::of("vm-a8")));
+    assert!(!book.precedes_as_leader(VmKey::of("vm-b0")));
     book.hear(VmKey::of("vm-a4"), 1, 2, at(800));
-    assert_eq!(book.lead_place(at(900)), 1);
+    assert_eq!(book.leader_rank(at(900)), 1);
 }
 
 #[test]
 fn the_far_leads_are_those_that_were_heard_first_of_all() {
     let mut book = large_book();
     let address = |name: &str| vec![linked(name, "dc-b", 10).address];
-    assert_eq!(book.far_leads(0, at(0)), address("vm-b0"));
-    assert_eq!(book.far_leads(1, at(0)), address("vm-b1"));
+    assert_eq!(book.remote_leaders(0, at(0)), address("vm-b0"));
+    assert_eq!(book.remote_leaders(1, at(0)), address("vm-b1"));
     // The first one died, and the next ones lead there.
     book.hear(VmKey::of("vm-b1"), 1, 1, at(0));
     book.hear(VmKey::of("vm-b2"), 1, 1, at(0));
-    assert_eq!(book.far_leads(0, at(100)), address("vm-b1"));
-    assert_eq!(book.far_leads(1, at(100)), address("vm-b2"));
+    assert_eq!(book.remote_leaders(0, at(100)), address("vm-b1"));
+    assert_eq!(book.remote_leaders(1, at(100)), address("vm-b2"));
 }
 
 #[test]
@@ -163,11 +163,11 @@
 
 #[test]
 fn in_a_large_data_centre_loads_go_to_its_leads_and_in_a_small_one_to_all() {
-    assert!(!large(30).relays_near());
+    assert!(!large(30).relays_locally());
     let mut book = large(31);
-    assert!(book.relays_near());
+    assert!(book.relays_locally());
     // All were just listed, and none was heard: the first two by name are taken for leads.
-    let leads = |book: &PeerTable, now| book.near_leads(now).len();
+    let leads = |book: &PeerTable, now| book.local_leaders(now).len();
     assert_eq!(leads(&book, at(100)), 2);
     // They stay silent: nobody leads until others are heard.
     assert_eq!(leads(&book, at(1_300)), 0);
@@ -181,14 +181,14 @@
     for name in ["vm-03", "vm-04", "vm-06"] {
         book.list_at(entry(name, "dc-a"), at(0));
     }
-    assert_eq!((book.lead_place(at(100)), book.expected_place(at(100))), (0, 2));
+    assert_eq!((book.leader_rank(at(100)), book.expected_leader_rank(at(100))), (0, 2));
     assert!(book.hear(VmKey::of("vm-04"), 1, 1, at(1_000)));
-    assert_eq!((book.lead_place(at(1_250)), book.expected_place(at(1_250))), (1, 1));
+    assert_eq!((book.leader_rank(at(1_250)), book.expected_leader_rank(at(1_250))), (1, 1));
     // The same entry, listed again, makes nobody new; another incarnation does.
     book.list_at(entry("vm-03", "dc-a"), at(1_300));
-    assert_eq!(book.expected_place(at(1_300)), 1);
+    assert_eq!(book.expected_leader_rank(at(1_300)), 1);
     book.list_at(VmEntry { incarnation: 2, ..entry("vm-03", "dc-a") }, at(1_400));
-    assert_eq!(book.expected_place(at(1_400)), 2);
+    assert_eq!(book.expected_leader_rank(at(1_400)), 2);
 }
 
 #[test]
--- a/crates/decide/tests/rollout.rs
+++ b/crates/decide/tests/rollout.rs
@@ -107,7 +107,7 @@
             is_fresh: true,
             near: Vec::new(),
             all: keys.iter().copied().filter(|key| *key != keys[own]).collect(),
-            far_centres: BTreeSet::new(),
+            remote_data_centres: BTreeSet::new(),
         };
         Self {
             rng: SmallRng::seed_from_u64(seed),
--- a/crates/gateway/src/endpoints/answer_handler.rs
+++ b/crates/gateway/src/endpoints/answer_handler.rs
@@ -100,16 +100,16 @@
     /// None: they have received it.
     Nobody,
     /// Other data centres.
-    Far,
+    Remote,
     /// The VMs of its own data centre.
     Passed,
 }
 
 impl ForwardScope {
     /// The scope for a digest of `scope`; `is_near` if its sender described itself to its own data centre.
-    pub(crate) fn of(scope: DigestScope, is_near: bool, is_lead: bool) -> Self {
+    pub(crate) fn of(scope: DigestScope, is_local: bool, is_lead: bool) -> Self {
         match scope {
-            DigestScope::Vm if is_near => Self::Far,
+            DigestScope::Vm if is_local => Self::Remote,
             DigestScope::DataCentre if is_lead => Self::Passed,
             DigestScope::Vm | DigestScope::DataCentre | DigestScope::Elsewhere => Self::Nobody,
         }
@@ -230,7 +230,7 @@
             };
             match (forwarded, forward) {
                 (None, _) | (_, ForwardScope::Nobody) => {}
-                (Some(observed), ForwardScope::Far) => self.far_answers.push(observed),
+                (Some(observed), ForwardScope::Remote) => self.far_answers.push(observed),
                 (Some(observed), ForwardScope::Passed) => self.passed_answers.push(observed),
             }
         }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -307,8 +307,8 @@
         let report = SendReport { pace: None, ..report };
         let is_told = {
             let table = self.table();
-            let is_near = |row: &EndpointRow| row.entry.data_centre == self.settings.data_centre;
-            table.row(report.key).is_some_and(is_near) && table.should_propagate(&report, self.now())
+            let is_local = |row: &EndpointRow| row.entry.data_centre == self.settings.data_centre;
+            table.row(report.key).is_some_and(is_local) && table.should_propagate(&report, self.now())
         };
         if is_told {
             self.far_reports.push((teller, report));
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -42,9 +42,9 @@
 pub(crate) use spanfold_decide::{
     AdmissionVerdict, AdmissionView, AnswerCounts, BudgetTerms, CloseReporter, ColdTerms, EndingReport,
     EndpointCopy, EndpointEnding, EndpointRow, EngineState, ExposureTerms, FleetSweep, FleetTable, HeldBytes,
-    HolderRecord, HolderStanding, IdentityKey, IndexReporter, KeptRow, LEADS, LimitChange, LimitReport,
-    LinkMoves, ListStanding, LoadCount, LoadSource, NamedVersion, NamedWeights, NamingRecord, PIECE_BYTES,
-    PeerHeartbeat, PeerTable, PlacementChoice, PlacementRequest, PollSchedule, PropagationPlan,
+    HolderRecord, HolderStanding, IdentityKey, IndexReporter, KeptRow, LEADERS_PER_DATA_CENTRE, LimitChange,
+    LimitReport, LinkMoves, ListStanding, LoadCount, LoadSource, NamedVersion, NamedWeights, NamingRecord,
+    PIECE_BYTES, PeerHeartbeat, PeerTable, PlacementChoice, PlacementRequest, PollSchedule, PropagationPlan,
     QuarantineChange, QuarantineMessage, QuarantinePhase, QuarantinedRequest, QueueOrder, RateTerms,
     ReassemblyProgress, RequestIdentity, RequestKey, RequestQuarantine, ReservationId, RestChange,
     RetryBudget, RolloutAnswer, RolloutReason, RolloutRecord, RolloutRun, RolloutStep, RolloutTable,
--- a/crates/gateway/src/peers/digest_relay.rs
+++ b/crates/gateway/src/peers/digest_relay.rs
@@ -11,7 +11,7 @@
 use crate::peers::gossip::{pass_pause, tell};
 use crate::peers::load_digest::LoadDigest;
 use crate::peers::peer_message::{PeerMessage, PeerStamp};
-use crate::{LEADS, VmKey};
+use crate::{LEADERS_PER_DATA_CENTRE, VmKey};
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -69,7 +69,7 @@
 /// Whether this VM passes on what the others of its data centre tell.
 pub(crate) fn relays(gateway: &Gateway, now: Moment) -> bool {
     let peers = gateway.peers();
-    peers.relays_near() && peers.expected_place(now) < LEADS
+    peers.relays_locally() && peers.expected_leader_rank(now) < LEADERS_PER_DATA_CENTRE
 }
 
 /// Passes on digests while this VM leads a large data centre, until the process ends.
@@ -87,7 +87,7 @@
             // What this VM has said of other data centres meanwhile must not make its own word an old one.
             *stamp = gateway.next_stamp();
         }
-        let targets = gateway.peers().near_addresses();
+        let targets = gateway.peers().local_peer_addresses();
         let mut bytes = 0;
         while !digests.is_empty() {
             let rest = digests.split_off(digests.len().min(DIGESTS_MOST));
--- a/crates/gateway/src/peers/gossip.rs
+++ b/crates/gateway/src/peers/gossip.rs
@@ -8,7 +8,7 @@
 //! Mbit/s with five data centres of 59 VMs, and the leads that are left after a fault may have 20. What a message means is decided
 //! where its kind is defined.
 
-use crate::LEADS;
+use crate::LEADERS_PER_DATA_CENTRE;
 use crate::gateway::Gateway;
 use crate::operators::gateway_metrics::KindLabel;
 use crate::peers::digest_relay::{TELL_PAUSE, relays};
@@ -63,7 +63,7 @@
 /// Tells the other VMs of this one's loads until the process ends.
 pub(crate) async fn send_digests(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     loop {
-        let pause = if gateway.peers().relays_near() { TELL_PAUSE } else { GATHER_PAUSE };
+        let pause = if gateway.peers().relays_locally() { TELL_PAUSE } else { GATHER_PAUSE };
         tokio::select! {
             () = gateway.loads_changed.notified() => tokio::time::sleep(pause).await,
             () = tokio::time::sleep(REST) => {}
@@ -72,7 +72,7 @@
         let (digest, stamp) = (LoadDigest::own(&gateway), gateway.next_stamp());
         let targets = {
             let peers = gateway.peers();
-            if peers.relays_near() { peers.near_leads(now) } else { peers.digest_targets() }
+            if peers.relays_locally() { peers.local_leaders(now) } else { peers.digest_targets() }
         };
         if relays(&gateway, now) {
             gateway.relay.push(stamp, digest.clone());
@@ -85,11 +85,11 @@
 pub(crate) async fn send_far_digests(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     loop {
         let now = gateway.now();
-        let (place, far_count, broadcasts_to_all) = {
+        let (place, remote_data_centre_count, broadcasts_to_all) = {
             let peers = gateway.peers();
-            (peers.lead_place(now), peers.far_count(), peers.broadcasts_to_all())
+            (peers.leader_rank(now), peers.remote_data_centre_count(), peers.broadcasts_to_all())
         };
-        if broadcasts_to_all || place >= LEADS || far_count == 0 {
+        if broadcasts_to_all || place >= LEADERS_PER_DATA_CENTRE || remote_data_centre_count == 0 {
             let _ = (gateway.far_notes.take(), gateway.far_reports.take());
             let _ = (gateway.far_cases.take(), gateway.far_answers.take());
             gateway.rollouts().sums.far.clear();
@@ -98,10 +98,10 @@
         }
         let message =
             PeerMessage::Load(gateway.next_stamp(), LoadDigest::of_data_centre(&gateway, place == 0));
-        let targets = gateway.peers().far_leads(place, now);
+        let targets = gateway.peers().remote_leaders(place, now);
         tell(&gateway, &socket, &message, &targets).await;
         let rarely = if place == 0 { 1 } else { SECOND_LEAD_FACTOR };
-        tokio::time::sleep(FAR_PAUSE * far_count as u32 * rarely).await;
+        tokio::time::sleep(FAR_PAUSE * remote_data_centre_count as u32 * rarely).await;
     }
 }
 
@@ -109,14 +109,14 @@
 pub(crate) async fn pass_on(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     loop {
         let now = gateway.now();
-        let (place, far_count, targets) = {
+        let (place, remote_data_centre_count, targets) = {
             let peers = gateway.peers();
-            let place = peers.lead_place(now);
-            let passes = !peers.broadcasts_to_all() && place < LEADS;
-            let targets = if passes { peers.near_addresses() } else { Vec::new() };
-            (place, peers.far_count(), targets)
+            let place = peers.leader_rank(now);
+            let passes = !peers.broadcasts_to_all() && place < LEADERS_PER_DATA_CENTRE;
+            let targets = if passes { peers.local_peer_addresses() } else { Vec::new() };
+            (place, peers.remote_data_centre_count(), targets)
         };
-        if targets.is_empty() || far_count == 0 {
+        if targets.is_empty() || remote_data_centre_count == 0 {
             let _ = (gateway.passed_notes.take(), gateway.passed_reports.take());
             let _ = (gateway.passed_cases.take(), gateway.passed_answers.take());
             gateway.rollouts().sums.passed.clear();
@@ -126,7 +126,7 @@
         let message = PeerMessage::Load(gateway.next_stamp(), LoadDigest::of_elsewhere(&gateway, place == 0));
         let bytes = tell(&gateway, &socket, &message, &targets).await;
         let rarely = if place == 0 { 1 } else { SECOND_LEAD_FACTOR };
-        let usual = FAR_PAUSE * far_count as u32 * rarely;
+        let usual = FAR_PAUSE * remote_data_centre_count as u32 * rarely;
         let link = pass_pause(bytes * targets.len(), gateway.settings.link_mbps);
         tokio::time::sleep(usual.max(link).min(PASS_PAUSE_MOST)).await;
     }
@@ -191,8 +191,8 @@
         return;
     }
     digest.apply(gateway, stamp.vm);
-    let is_near = gateway.peers().is_near(stamp.vm);
-    if digest.scope == DigestScope::Vm && is_near && relays(gateway, now) {
+    let is_local = gateway.peers().is_local(stamp.vm);
+    if digest.scope == DigestScope::Vm && is_local && relays(gateway, now) {
         gateway.relay.push(stamp, digest.clone());
     }
 }
@@ -200,7 +200,7 @@
 /// Takes what a lead of this data centre passes on of its VMs.
 fn take_batch(gateway: &Gateway, sender: PeerStamp, digests: &[(PeerStamp, LoadDigest)]) {
     let now = gateway.now();
-    if gateway.peers().leads_before(sender.vm) {
+    if gateway.peers().precedes_as_leader(sender.vm) {
         gateway.relay.note_other(now);
     }
     for (stamp, digest) in digests {
--- a/crates/gateway/src/peers/kept_digest.rs
+++ b/crates/gateway/src/peers/kept_digest.rs
@@ -70,20 +70,20 @@
 /// Whether this VM asks the stores: in a small deployment each one does, for itself.
 pub(crate) fn asks_stores(gateway: &Gateway, now: Moment) -> bool {
     let peers = gateway.peers();
-    peers.broadcasts_to_all() || peers.lead_place(now) == 0
+    peers.broadcasts_to_all() || peers.leader_rank(now) == 0
 }
 
 /// VMs that ask each store.
 pub(crate) fn askers(gateway: &Gateway) -> usize {
     let peers = gateway.peers();
-    if peers.broadcasts_to_all() { peers.listed_count() } else { peers.far_count() + 1 }
+    if peers.broadcasts_to_all() { peers.listed_count() } else { peers.remote_data_centre_count() + 1 }
 }
 
 /// Where this VM tells what it hears from the stores: nowhere if the others ask themselves.
 fn told_to(gateway: &Gateway) -> Vec<SocketAddr> {
     let peers = gateway.peers();
-    let tells = !peers.broadcasts_to_all() && peers.lead_place(gateway.now()) == 0;
-    if tells { peers.near_addresses() } else { Vec::new() }
+    let tells = !peers.broadcasts_to_all() && peers.leader_rank(gateway.now()) == 0;
+    if tells { peers.local_peer_addresses() } else { Vec::new() }
 }
 
 /// Parts that one digest may tell to so many VMs over a link of `link_mbps` without taking more than its share.
--- a/crates/gateway/src/peers/load_digest.rs
+++ b/crates/gateway/src/peers/load_digest.rs
@@ -11,8 +11,8 @@
 use crate::peers::placed_note::PlacedNote;
 use crate::peers::waiting_notes::NOTES_MOST;
 use crate::{
-    EndpointKey, FleetTable, LEADS, LinkMoves, LoadCount, LoadSource, PeerHeartbeat, PeerTable,
-    QuarantineMessage, RouteCounts, SumKey, VmKey, short_digest,
+    EndpointKey, FleetTable, LEADERS_PER_DATA_CENTRE, LinkMoves, LoadCount, LoadSource, PeerHeartbeat,
+    PeerTable, QuarantineMessage, RouteCounts, SumKey, VmKey, short_digest,
 };
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
@@ -90,7 +90,7 @@
     ///
     /// Sums of answers would count twice if both leads told them: the first one does.
     pub(crate) fn of_data_centre(gateway: &Gateway, is_first: bool) -> Self {
-        let near = gateway.peers().near_vms();
+        let near = gateway.peers().local_vms();
         let notes = DigestNotes {
             placed: gateway.far_notes.take(),
             reports: gateway.far_reports.take(),
@@ -117,7 +117,7 @@
         let now = gateway.now();
         let heard = gateway.peers().live_remote_peers(now);
         let table = gateway.table();
-        let (loads, moves) = (table.far_loads(now), table.far_moves(now));
+        let (loads, moves) = (table.remote_loads(now), table.far_moves(now));
         let digest = Self::build(gateway, &table, DigestScope::Elsewhere, notes, loads, moves);
         Self { heard, ..digest }
     }
@@ -185,13 +185,18 @@
     /// Takes what another VM told. What VMs of this data centre say is kept for the others.
     pub(crate) fn apply(&self, gateway: &Gateway, vm: VmKey) {
         let now = gateway.now();
-        let (is_near, is_lead, data_centre, vms) = {
+        let (is_local, is_lead, data_centre, vms) = {
             let mut peers = gateway.peers();
             for (heard, age_micros) in &self.heard {
                 peers.record_indirect_digest(heard, Moment(now.0.saturating_sub(*age_micros)));
             }
             let data_centre = peers.data_centre_of(vm).map(short_digest);
-            (peers.is_near(vm), peers.lead_place(now) < LEADS, data_centre, peers.listed_count())
+            (
+                peers.is_local(vm),
+                peers.leader_rank(now) < LEADERS_PER_DATA_CENTRE,
+                data_centre,
+                peers.listed_count(),
+            )
         };
         let Some(data_centre) = data_centre else { return };
         // A lead hears other data centres from their leads, the others from their own one: never from both.
@@ -200,7 +205,7 @@
             DigestScope::DataCentre => is_lead.then_some(LoadSource::DataCentre(data_centre)),
             DigestScope::Elsewhere => (!is_lead).then_some(LoadSource::Elsewhere),
         };
-        let is_near = is_near && self.scope == DigestScope::Vm;
+        let is_local = is_local && self.scope == DigestScope::Vm;
         let loads = self.loads.iter().map(|(key, running, unread_tokens, memory_tokens)| {
             let (running, unread_tokens, memory_tokens) = (*running, *unread_tokens, *memory_tokens);
             (*key, LoadCount { running, unread_tokens, memory_tokens })
@@ -218,23 +223,23 @@
             table.apply_send_report(*teller, report, turn, now);
         }
         for (key, model, version) in &self.weights {
-            table.raise_weights(*key, *model, *version, is_near, now);
+            table.raise_weights(*key, *model, *version, is_local, now);
         }
         for (key, micros) in &self.closed {
             // A lead that hears less often may still take an engine for closed that has loaded meanwhile.
             let is_outdated =
                 self.scope == DigestScope::Elsewhere && (is_lead || has_loaded(&table, *key, now));
             if !is_outdated {
-                table.cordon_as_reported(*key, now.after_micros(*micros), is_near);
+                table.cordon_as_reported(*key, now.after_micros(*micros), is_local);
             }
         }
         drop(table);
         gateway.apply_named_ages(&self.named);
         gateway.take_notes(&self.cases, self.scope, vm, is_lead);
-        let forward = ForwardScope::of(self.scope, is_near, is_lead);
+        let forward = ForwardScope::of(self.scope, is_local, is_lead);
         gateway.apply_answer_notes(&self.answers, forward);
         gateway.add_rollout_sums(&self.rollouts, forward);
-        if is_near {
+        if is_local {
             self.placed.iter().for_each(|note| gateway.far_notes.push(note.clone()));
             self.reports.iter().for_each(|report| gateway.report_far(*report));
         } else if is_lead && self.scope == DigestScope::DataCentre {
@@ -254,8 +259,8 @@
 fn closed_engines(table: &FleetTable, scope: DigestScope, now: Moment) -> Vec<(EndpointKey, u64)> {
     let tells = |teller: CloseReporter| match scope {
         DigestScope::Vm => teller == CloseReporter::Own,
-        DigestScope::DataCentre => teller != CloseReporter::Far,
-        DigestScope::Elsewhere => teller == CloseReporter::Far,
+        DigestScope::DataCentre => teller != CloseReporter::Remote,
+        DigestScope::Elsewhere => teller == CloseReporter::Remote,
     };
     let closed = table.changing().filter(|(_, row)| row.is_closing(now) && tells(row.closed_by));
     closed.map(|(key, row)| (key, row.closing_until.micros_since(now))).collect()
--- a/crates/gateway/src/quarantine/quarantine_desk.rs
+++ b/crates/gateway/src/quarantine/quarantine_desk.rs
@@ -120,7 +120,7 @@
         is_lead: bool,
     ) {
         let now = self.now();
-        let is_near = self.peers().is_near(teller);
+        let is_local = self.peers().is_local(teller);
         for note in notes {
             let (is_new, changes) = self.desk().quarantine.apply_quarantine_message(note, now);
             if !is_new {
@@ -131,7 +131,7 @@
                 self.evidence_came.notify_one();
             }
             self.announce(&changes);
-            if scope == DigestScope::Vm && is_near {
+            if scope == DigestScope::Vm && is_local {
                 self.far_cases.push(*note);
             } else if scope == DigestScope::DataCentre && is_lead {
                 self.passed_cases.push(*note);
--- a/crates/gateway/src/rollout/rollout_desk.rs
+++ b/crates/gateway/src/rollout/rollout_desk.rs
@@ -153,7 +153,7 @@
         for (key, counts) in told {
             match forward {
                 ForwardScope::Nobody => {}
-                ForwardScope::Far => book.sums.far.add(*key, *counts),
+                ForwardScope::Remote => book.sums.far.add(*key, *counts),
                 ForwardScope::Passed => book.sums.passed.add(*key, *counts),
             }
         }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -207,14 +207,14 @@
 
     /// When this VM asks the store itself.
     fn turn(&self, now: Moment) -> Moment {
-        let place = self.gateway.peers().expected_place(now) as u64;
+        let place = self.gateway.peers().expected_leader_rank(now) as u64;
         let turn = if place == 0 || self.is_asking || self.gateway.is_stale() {
             Moment(0)
         } else {
             self.confirmed_at.after_millis(TURN_MILLIS + TURN_STEP_MILLIS * place)
         };
         let catch_up = self.behind_since.map_or(Moment::NEVER, |since| {
-            let beyond = self.gateway.peers().near_count().saturating_sub(CATCH_UP_VMS) as u64;
+            let beyond = self.gateway.peers().local_peer_count().saturating_sub(CATCH_UP_VMS) as u64;
             since.after_millis(CATCH_UP_MILLIS + CATCH_UP_STEP_MILLIS * beyond)
         });
         turn.min(catch_up).max(self.rest_until)
@@ -237,7 +237,7 @@
         }
         self.confirmed_at = self.confirmed_at.max(Moment(now.0.saturating_sub(news.age_micros)));
         self.gateway.list_standing().record_list_confirmation(self.confirmed_at);
-        if self.is_asking && self.gateway.peers().leads_before(vm) {
+        if self.is_asking && self.gateway.peers().precedes_as_leader(vm) {
             self.is_asking = false;
             log::info!(teller = vm.0, position:% = self.position; "watch.ceased");
         }
@@ -293,7 +293,7 @@
     fn note_asking(&mut self) {
         if !self.is_asking {
             self.is_asking = true;
-            let place = self.gateway.peers().expected_place(self.gateway.now());
+            let place = self.gateway.peers().expected_leader_rank(self.gateway.now());
             log::info!(place, position:% = self.position; "watch.begun");
         }
     }
@@ -367,7 +367,7 @@
     async fn watch_once(&mut self, told: &mut mpsc::Receiver<ToldNews>) -> bool {
         // Who only catches up does not wait: the news go on coming from another VM.
         let waits =
-            self.gateway.peers().expected_place(self.gateway.now()) == 0 || self.behind_since.is_none();
+            self.gateway.peers().expected_leader_rank(self.gateway.now()) == 0 || self.behind_since.is_none();
         // Nor does one that was suspended: requests wait for the answer.
         let wait_millis = if waits && !self.gateway.is_stale() { WATCH_MILLIS } else { 0 };
         let from = self.position;
