--- a/crates/decide/src/admit/placement.rs
+++ b/crates/decide/src/admit/placement.rs
@@ -242,7 +242,7 @@
 }
 
 fn is_sound(row: &EndpointRow, now: Moment) -> bool {
-    !row.is_ejected(now) && !row.is_closing(now) && !row.rest.is_resting(now)
+    !row.is_ejected(now) && !row.is_closing(now) && !row.rest.is_backing_off(now)
 }
 
 /// What is the same for many engines, found for the first of them: by weights, what the stores hold, and by weights
--- a/crates/decide/src/admit/share_queue.rs
+++ b/crates/decide/src/admit/share_queue.rs
@@ -54,13 +54,13 @@
     /// All VMs.
     pub vms: usize,
     /// When the first of them returns, if all of them rest: nobody is asked back before.
-    pub rest_until: Option<Moment>,
+    pub backoff_until: Option<Moment>,
 }
 
 impl ShareOutlook {
     /// Adds an endpoint that rests, or returns from a rest: after it, it is expected to take a request a second for each of
     /// its slots.
-    pub(crate) fn add_rested(&mut self, row: &EndpointRow) {
+    pub(crate) fn add_backed_off(&mut self, row: &EndpointRow) {
         let per_s = f64::from(row.entry.slots.max(1));
         self.all_per_s += per_s;
         self.own_per_s += per_s / self.vms.max(1) as f64;
@@ -137,11 +137,11 @@
     }
 
     /// When one more of the refused may return, in milliseconds from now.
-    fn back_millis(&mut self, outlook: &ShareOutlook, now: Moment) -> u64 {
+    fn return_delay_millis(&mut self, outlook: &ShareOutlook, now: Moment) -> u64 {
         // The refused return to any VM: each tells its part of the times that there are for all.
         let per_s = outlook.all_per_s / outlook.vms.max(1) as f64;
         let pause_micros = (MICROS_PER_SECOND as f64 / per_s.max(f64::MIN_POSITIVE)) as u64;
-        let from = outlook.rest_until.unwrap_or(now).max(now);
+        let from = outlook.backoff_until.unwrap_or(now).max(now);
         let most = from.after_millis(BACK_MOST_MILLIS);
         let back_at = self.returns_until.max(from).after_micros(pause_micros).min(most);
         self.returns_until = back_at;
@@ -194,13 +194,13 @@
                 queue.rows.push(WaitingRow { order: order.clone(), next_at, looked_at: now });
                 ShareVerdict::Wait(turn_at.max(now))
             }
-            _ => ShareVerdict::Refuse(queue.back_millis(outlook, now)),
+            _ => ShareVerdict::Refuse(queue.return_delay_millis(outlook, now)),
         }
     }
 
     /// When a request that is refused because all endpoints rest may return, in milliseconds from now.
     pub fn refuse(&mut self, service: &str, outlook: &ShareOutlook, now: Moment) -> u64 {
-        self.services.entry(service.to_owned()).or_default().back_millis(outlook, now)
+        self.services.entry(service.to_owned()).or_default().return_delay_millis(outlook, now)
     }
 
     /// Notes that a request goes to an endpoint that takes few.
--- a/crates/decide/src/fleet/endpoint_rest.rs
+++ b/crates/decide/src/fleet/endpoint_backoff.rs
@@ -16,7 +16,7 @@
 
 /// Effect of an answer that asks for rest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RestChange {
+pub enum BackoffChange {
     /// None: a rest that ends later is under way, or none was asked for.
     None,
     /// A rest begins, for so many milliseconds.
@@ -27,7 +27,7 @@
 
 /// The rest of one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct EndpointRest {
+pub struct EndpointBackoff {
     /// End of the last rest.
     until: Moment,
     /// Whether it has served nothing since.
@@ -36,7 +36,7 @@
     probe_at: Moment,
 }
 
-impl EndpointRest {
+impl EndpointBackoff {
     /// Applies an answer that arrived at `now` and asks for a rest.
     ///
     /// # Examples
@@ -48,25 +48,25 @@
     /// assert_eq!(rest.ask(1_000, Moment(0)), RestChange::None);
     /// assert_eq!(rest.next_at(Moment(0)), Moment(3_000_000));
     /// ```
-    pub fn ask(&mut self, millis: u64, now: Moment) -> RestChange {
+    pub fn ask(&mut self, millis: u64, now: Moment) -> BackoffChange {
         let until = now.after_millis(millis.min(REST_MOST_MILLIS));
         if until <= self.until.max(now) {
-            return RestChange::None;
+            return BackoffChange::None;
         }
-        let was_resting = self.is_resting(now);
+        let was_resting = self.is_backing_off(now);
         *self = Self { until, is_returning: true, probe_at: until };
         let millis = millis.min(REST_MOST_MILLIS);
-        if was_resting { RestChange::Extended(millis) } else { RestChange::Begun(millis) }
+        if was_resting { BackoffChange::Extended(millis) } else { BackoffChange::Begun(millis) }
     }
 
     /// Whether it takes nothing now.
-    pub fn is_resting(&self, now: Moment) -> bool {
+    pub fn is_backing_off(&self, now: Moment) -> bool {
         now < self.until
     }
 
     /// Whether it takes requests as if it had never rested.
     pub fn is_over(&self, now: Moment) -> bool {
-        !self.is_returning && !self.is_resting(now)
+        !self.is_returning && !self.is_backing_off(now)
     }
 
     /// When it takes a request; `now` if it does at once.
@@ -76,7 +76,7 @@
 
     /// End of the rest under way.
     pub fn until(&self, now: Moment) -> Option<Moment> {
-        self.is_resting(now).then_some(self.until)
+        self.is_backing_off(now).then_some(self.until)
     }
 
     /// Notes that a request is about to be sent.
--- a/crates/decide/src/fleet/endpoint_row.rs
+++ b/crates/decide/src/fleet/endpoint_row.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::peer_loads::PeerLoads;
 use crate::fleet::told_health::ToldHealth;
-use crate::{EndpointEntry, EndpointRest, KeptParts, NamedLimit, RecentSends, SendReport, VmKey};
+use crate::{EndpointBackoff, EndpointEntry, KeptParts, NamedLimit, RecentSends, SendReport, VmKey};
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
@@ -102,7 +102,7 @@
     /// Requests a second that it takes from all VMs together.
     pub limit: NamedLimit,
     /// The rest that it asked this VM for.
-    pub rest: EndpointRest,
+    pub rest: EndpointBackoff,
     /// Whether an answer of it said that it leaves.
     pub has_departed: bool,
     /// Headers that were invalid in its last answer.
@@ -143,7 +143,7 @@
             evacuated_until: Moment(0),
             cold_until: Moment(0),
             limit: NamedLimit::default(),
-            rest: EndpointRest::default(),
+            rest: EndpointBackoff::default(),
             has_departed: false,
             odd_headers: Vec::new(),
             recent_sends: RecentSends::default(),
--- a/crates/decide/src/fleet/fleet_answers.rs
+++ b/crates/decide/src/fleet/fleet_answers.rs
@@ -4,7 +4,7 @@
 
 use super::fleet_limits::COLD_MOST_MILLIS;
 use super::fleet_table::EndedRow;
-use crate::{EndpointKey, EndpointRow, FleetTable, RestChange, ShareOutlook};
+use crate::{BackoffChange, EndpointKey, EndpointRow, FleetTable, ShareOutlook};
 use spanfold_entity::Moment;
 use std::sync::Arc;
 
@@ -35,8 +35,8 @@
     }
 
     /// Notes that an endpoint asked this VM for a rest of so many milliseconds.
-    pub fn record_backoff(&mut self, key: EndpointKey, millis: u64, now: Moment) -> RestChange {
-        self.rows.get_mut(&key).map_or(RestChange::None, |row| row.rest.ask(millis, now))
+    pub fn record_backoff(&mut self, key: EndpointKey, millis: u64, now: Moment) -> BackoffChange {
+        self.rows.get_mut(&key).map_or(BackoffChange::None, |row| row.rest.ask(millis, now))
     }
 
     /// Notes that an endpoint served a request that was sent at `sent_at`; whether it has returned from a rest with that.
@@ -45,7 +45,7 @@
     }
 
     /// What the endpoints of a service take once their rests end, if all of them rest that `may_serve` and take work.
-    pub fn rest_outlook(
+    pub fn backoff_capacity(
         &self,
         service: &str,
         vms: usize,
@@ -56,10 +56,10 @@
         let rows = self.rows_of(service).map(|(_, row)| row);
         for row in rows.filter(|row| row.takes_work(now) && may_serve(row)) {
             let until = row.rest.until(now)?;
-            outlook.rest_until = Some(outlook.rest_until.map_or(until, |known| known.min(until)));
-            outlook.add_rested(row);
+            outlook.backoff_until = Some(outlook.backoff_until.map_or(until, |known| known.min(until)));
+            outlook.add_backed_off(row);
         }
-        outlook.rest_until.is_some().then_some(outlook)
+        outlook.backoff_until.is_some().then_some(outlook)
     }
 
     /// Notes the version of a model's weights that an answer or an event of an engine told to this VM; whether it is newer than
@@ -110,6 +110,6 @@
 
     /// Endpoints that asked this VM for a rest that is not over.
     pub fn resting_count(&self, now: Moment) -> usize {
-        self.rows.values().filter(|row| row.rest.is_resting(now)).count()
+        self.rows.values().filter(|row| row.rest.is_backing_off(now)).count()
     }
 }
--- a/crates/decide/src/fleet/fleet_limits.rs
+++ b/crates/decide/src/fleet/fleet_limits.rs
@@ -107,14 +107,14 @@
                     outlook.own_per_s += terms.per_s(shares.part(key, row, &terms));
                 }
                 None if row.rest.is_over(now) => return None, // It would have been chosen.
-                None => outlook.add_rested(row),
+                None => outlook.add_backed_off(row),
             }
-            all_rest &= row.rest.is_resting(now);
-            outlook.rest_until = [outlook.rest_until, row.rest.until(now)].into_iter().flatten().min();
+            all_rest &= row.rest.is_backing_off(now);
+            outlook.backoff_until = [outlook.backoff_until, row.rest.until(now)].into_iter().flatten().min();
             let next_at = self.next_share(key, row, shares, now);
             outlook.next_at = [outlook.next_at, next_at].into_iter().flatten().min();
         }
-        outlook.rest_until = outlook.rest_until.filter(|_| all_rest);
+        outlook.backoff_until = outlook.backoff_until.filter(|_| all_rest);
         is_any.then_some(outlook)
     }
 
--- a/crates/decide/src/fleet/fleet_table.rs
+++ b/crates/decide/src/fleet/fleet_table.rs
@@ -173,7 +173,7 @@
             counts.doubted += usize::from(row.is_doubted());
             counts.limited += usize::from(row.limit.per_s().is_some());
             counts.departed += usize::from(row.has_departed);
-            counts.resting += usize::from(row.rest.is_resting(now));
+            counts.resting += usize::from(row.rest.is_backing_off(now));
         }
         counts.cold = if now < self.cold_until { self.cold_count(now) } else { 0 };
         let rows = &self.rows;
--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! What is there: endpoints with their loads, VMs, routes, and the store's changes.
 
 mod deployment;
+mod endpoint_backoff;
 mod endpoint_copy;
-mod endpoint_rest;
 mod endpoint_row;
 mod fleet_answers;
 mod fleet_entries;
@@ -31,8 +31,8 @@
     AccountRow, CacheUpdate, ColdSpec, DeploymentConfig, EndpointEntry, EngineReport, EngineSpec, KeptChange,
     PromptSegment, RequestLimits, RouteKind, RouteRow, ServiceRow, ServiceWeight, StoreSpec, WeightTarget,
 };
+pub use endpoint_backoff::{BackoffChange, EndpointBackoff};
 pub use endpoint_copy::{EndpointCopy, pack, unpack};
-pub use endpoint_rest::{EndpointRest, RestChange};
 pub use endpoint_row::{CloseReporter, EndpointRow, LoadCount, SendOutcome};
 pub use fleet_keys::{EndpointKey, LinkMoves, LoadSource, VmKey, short_digest};
 pub use fleet_table::{FleetCounts, FleetSweep, FleetTable};
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -28,14 +28,14 @@
 };
 pub(crate) use fleet::SharedWeights;
 pub use fleet::{
-    AccountRow, CacheUpdate, CloseReporter, ColdSpec, DeploymentConfig, EndpointCopy, EndpointEntry,
-    EndpointKey, EndpointRest, EndpointRow, EngineReport, EngineSpec, FleetCounts, FleetSweep, FleetTable,
-    HomeRegions, KeptChange, LEADERS_PER_DATA_CENTRE, LimitChange, LimitReport, LinkMoves, LoadCount,
-    LoadSource, NamedLimit, PIECE_BYTES, PIECES_LIMIT, PeerHeartbeat, PeerTable, PromptSegment,
-    PropagationPlan, ReassemblyProgress, RequestLimits, RestChange, RouteKind, RouteRow, RouteTable,
-    SendOutcome, SendReport, ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec,
-    UpdateFragment, UpdateHistory, UpdateReassembly, VmEntry, VmKey, WeightTarget, pack, pick_target,
-    short_digest, split_update, unpack,
+    AccountRow, BackoffChange, CacheUpdate, CloseReporter, ColdSpec, DeploymentConfig, EndpointBackoff,
+    EndpointCopy, EndpointEntry, EndpointKey, EndpointRow, EngineReport, EngineSpec, FleetCounts, FleetSweep,
+    FleetTable, HomeRegions, KeptChange, LEADERS_PER_DATA_CENTRE, LimitChange, LimitReport, LinkMoves,
+    LoadCount, LoadSource, NamedLimit, PIECE_BYTES, PIECES_LIMIT, PeerHeartbeat, PeerTable, PromptSegment,
+    PropagationPlan, ReassemblyProgress, RequestLimits, RouteKind, RouteRow, RouteTable, SendOutcome,
+    SendReport, ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec, UpdateFragment,
+    UpdateHistory, UpdateReassembly, VmEntry, VmKey, WeightTarget, pack, pick_target, short_digest,
+    split_update, unpack,
 };
 pub use kept::{
     IndexReporter, KeptParts, KeptPlan, KeptRow, PollSchedule, StoreRow, ToldBooks, outdated_segments,
--- a/crates/decide/tests/endpoint_answers.rs
+++ b/crates/decide/tests/endpoint_answers.rs
@@ -5,8 +5,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
-    ColdTerms, DeploymentConfig, EndpointEntry, EndpointKey, EndpointRest, FleetTable, HomeRegions,
-    PlacementRequest, RestChange, SendOutcome, SendReport, ShareView, VersionSplit, VmKey, place,
+    BackoffChange, ColdTerms, DeploymentConfig, EndpointBackoff, EndpointEntry, EndpointKey, FleetTable,
+    HomeRegions, PlacementRequest, SendOutcome, SendReport, ShareView, VersionSplit, VmKey, place,
 };
 use spanfold_entity::Moment;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -226,14 +226,17 @@
     table.set_services(&DeploymentConfig::default());
     table.apply_entry(entry("i-1", 1, 8), at(0));
     let key = EndpointKey::of_start("i-1", Some(1));
-    assert_eq!(table.record_backoff(key, 3_000, at(0)), RestChange::Begun(3_000));
+    assert_eq!(table.record_backoff(key, 3_000, at(0)), BackoffChange::Begun(3_000));
     // Shorter ones, and successes that cross it, shorten nothing; a longer one extends it.
-    assert_eq!(table.record_backoff(key, 500, at(100)), RestChange::None);
+    assert_eq!(table.record_backoff(key, 500, at(100)), BackoffChange::None);
     table.learn(key, SendOutcome::Answered, at(200));
     assert!(!table.record_served(key, at(50)));
-    assert_eq!(table.record_backoff(key, 3_000, at(300)), RestChange::Extended(3_000));
+    assert_eq!(table.record_backoff(key, 3_000, at(300)), BackoffChange::Extended(3_000));
     assert!(place(&table, &ask(&[]), at(3_299)).is_none());
-    assert_eq!(table.rest_outlook("desk", 9, |_| true, at(3_299)).unwrap().rest_until, Some(at(3_300)));
+    assert_eq!(
+        table.backoff_capacity("desk", 9, |_| true, at(3_299)).unwrap().backoff_until,
+        Some(at(3_300))
+    );
     assert!(place(&table, &ask(&[]), at(3_300)).is_some());
     // One request at a time until one is served.
     assert!(table.consume_share(key, &shares(), at(3_300)));
@@ -246,13 +249,13 @@
 /// A rest of years, said by one faulty answer, takes an endpoint from a VM for an hour.
 #[test]
 fn a_rest_is_kept_for_an_hour_at_most() {
-    let mut rest = EndpointRest::default();
-    assert_eq!(rest.ask(1_000_000_000_000, at(0)), RestChange::Begun(3_600_000));
-    assert_eq!((rest.is_resting(at(3_599_999)), rest.is_resting(at(3_600_000))), (true, false));
+    let mut rest = EndpointBackoff::default();
+    assert_eq!(rest.ask(1_000_000_000_000, at(0)), BackoffChange::Begun(3_600_000));
+    assert_eq!((rest.is_backing_off(at(3_599_999)), rest.is_backing_off(at(3_600_000))), (true, false));
     rest.record_send(at(3_600_000));
     assert!(rest.next_at(at(3_600_001)) > at(3_600_001));
     // It asks again, if it meant it.
-    assert_eq!(rest.ask(1_000_000_000_000, at(3_600_010)), RestChange::Begun(3_600_000));
+    assert_eq!(rest.ask(1_000_000_000_000, at(3_600_010)), BackoffChange::Begun(3_600_000));
 }
 
 /// Two VMs that were asked make the others avoid an endpoint, while they have another one.
--- a/crates/decide/tests/share_queue.rs
+++ b/crates/decide/tests/share_queue.rs
@@ -30,7 +30,7 @@
         own_per_s,
         all_per_s: own_per_s * 9.0,
         vms: 9,
-        rest_until: None,
+        backoff_until: None,
     }
 }
 
@@ -96,10 +96,11 @@
 #[test]
 fn those_that_are_refused_together_return_one_after_the_other() {
     let mut queue = ShareQueue::default();
-    let outlook = ShareOutlook { next_at: None, own_per_s: 0.0, all_per_s: 18.0, vms: 9, rest_until: None };
+    let outlook =
+        ShareOutlook { next_at: None, own_per_s: 0.0, all_per_s: 18.0, vms: 9, backoff_until: None };
     let backs: Vec<_> = (0..400)
         .map(|number| match queue.admit(SERVICE, &order(number, 1, "a", 0), &outlook, at(0)) {
-            ShareVerdict::Refuse(back_millis) => back_millis,
+            ShareVerdict::Refuse(return_delay_millis) => return_delay_millis,
             ShareVerdict::Wait(_) => panic!("there is no turn to wait for"),
         })
         .collect();
@@ -146,7 +147,7 @@
                 own_per_s: per_s,
                 all_per_s: per_s,
                 vms: 1,
-                rest_until: None,
+                backoff_until: None,
             };
             let stays = matches!(queue.admit(SERVICE, order, &outlook, now), ShareVerdict::Wait(_));
             tally.longest_millis = tally.longest_millis.max(now.micros_since(order.received) / 1_000);
--- a/crates/gateway/src/endpoints/answer_handler.rs
+++ b/crates/gateway/src/endpoints/answer_handler.rs
@@ -7,7 +7,7 @@
 use crate::gateway::Gateway;
 use crate::operators::gateway_metrics::KindLabel;
 use crate::peers::load_digest::DigestScope;
-use crate::{AnswerFacts, EndpointKey, HeaderField, LimitChange, LimitReport, RestChange};
+use crate::{AnswerFacts, BackoffChange, EndpointKey, HeaderField, LimitChange, LimitReport};
 use serde::{Deserialize, Serialize};
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 
@@ -182,9 +182,9 @@
         let Some(asked_ms) = facts.rest_millis.value() else { return };
         let mut table = self.table();
         let (rest_ms, extends) = match table.record_backoff(source.key, asked_ms, self.now()) {
-            RestChange::None => return,
-            RestChange::Begun(millis) => (millis, false),
-            RestChange::Extended(millis) => (millis, true),
+            BackoffChange::None => return,
+            BackoffChange::Begun(millis) => (millis, false),
+            BackoffChange::Extended(millis) => (millis, true),
         };
         let Some(row) = table.row(source.key) else { return };
         let (endpoint, born) = (row.entry.id.as_str(), row.entry.born_millis.unwrap_or_default());
--- a/crates/gateway/src/orders/free_task.rs
+++ b/crates/gateway/src/orders/free_task.rs
@@ -37,7 +37,7 @@
     /// Parts of weights below this version are freed.
     below: u64,
     /// After a failed call: not tried again before then.
-    rest_until: Moment,
+    backoff_until: Moment,
 }
 
 /// Frees what old weights left in the stores, until the process ends.
@@ -76,13 +76,13 @@
     let specs = gateway.table().store_specs();
     for (key, spec) in specs {
         let state = freed.entry((model.to_owned(), key)).or_default();
-        if state.below >= version || gateway.now() < state.rest_until {
+        if state.below >= version || gateway.now() < state.backoff_until {
             continue;
         }
         if free_older(gateway, key, &spec, model, version).await {
             state.below = version;
         } else {
-            state.rest_until = gateway.now().after_millis(RETRY_MILLIS);
+            state.backoff_until = gateway.now().after_millis(RETRY_MILLIS);
         }
     }
 }
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -112,8 +112,10 @@
             }
             match self.choose()? {
                 PlaceResult::Placed(choice, flight) => break (*choice, *flight),
-                PlaceResult::Late(back_millis) => return Some(SendResult::Late(back_millis)),
-                PlaceResult::Limited(back_millis) => return Some(SendResult::Limited(back_millis)),
+                PlaceResult::Late(return_delay_millis) => return Some(SendResult::Late(return_delay_millis)),
+                PlaceResult::Limited(return_delay_millis) => {
+                    return Some(SendResult::Limited(return_delay_millis));
+                }
                 PlaceResult::Wait => {
                     self.waits_for_room = true;
                     self.wait_for_room().await;
@@ -214,9 +216,9 @@
             }
             AdmissionVerdict::Go => {}
             AdmissionVerdict::Wait => return Some(PlaceResult::Wait),
-            AdmissionVerdict::Refuse(back_millis) => {
+            AdmissionVerdict::Refuse(return_delay_millis) => {
                 self.choice = Some(choice);
-                return Some(PlaceResult::Late(back_millis));
+                return Some(PlaceResult::Late(return_delay_millis));
             }
         }
         let moves: Vec<_> = choice.kept.moves(&ticket.parts).collect();
@@ -279,12 +281,12 @@
         let verdict = gateway.shares.queue().admit(ask.service, &self.queue_order, &outlook, now);
         Some(match verdict {
             ShareVerdict::Wait(until) => PlaceResult::WaitForShare(until),
-            ShareVerdict::Refuse(back_millis) => {
+            ShareVerdict::Refuse(return_delay_millis) => {
                 let blocked = gateway.table().blocked(ask, now);
                 log::info!(request = self.ticket.id_text(), service = ask.service, blocked:%,
-                    own_per_s = outlook.own_per_s, all_per_s = outlook.all_per_s, back_ms = back_millis;
+                    own_per_s = outlook.own_per_s, all_per_s = outlook.all_per_s, back_ms = return_delay_millis;
                     "request.limited");
-                PlaceResult::Limited(back_millis)
+                PlaceResult::Limited(return_delay_millis)
             }
         })
     }
@@ -445,7 +447,7 @@
     /// Whether the endpoint that was chosen still takes requests.
     fn may_reach(&self, flight: &SendFlight) -> bool {
         let (table, now) = (self.gateway.table(), self.gateway.now());
-        table.row(flight.key).is_none_or(|row| !row.has_announced_end() && !row.rest.is_resting(now))
+        table.row(flight.key).is_none_or(|row| !row.has_announced_end() && !row.rest.is_backing_off(now))
     }
 
     fn sent(&mut self) {
--- a/crates/gateway/src/requests/relay.rs
+++ b/crates/gateway/src/requests/relay.rs
@@ -114,11 +114,11 @@
                 }
                 continue;
             }
-            SendResult::Late(back_millis) => {
-                return run.refuse("no engine has room in time", back_millis);
+            SendResult::Late(return_delay_millis) => {
+                return run.refuse("no engine has room in time", return_delay_millis);
             }
-            SendResult::Limited(back_millis) => {
-                return run.refuse_unless_run("its endpoints take no more in time", back_millis);
+            SendResult::Limited(return_delay_millis) => {
+                return run.refuse_unless_run("its endpoints take no more in time", return_delay_millis);
             }
             SendResult::OutOfTime => return run.time_up(),
             SendResult::HeldBack => return run.hold_back(),
--- a/crates/gateway/src/requests/request_run.rs
+++ b/crates/gateway/src/requests/request_run.rs
@@ -270,8 +270,8 @@
 
     /// The final answer of a request that found no endpoint to go to or go on to.
     pub(crate) fn give_up(&mut self, reason: &'static str, base_millis: u64) -> Response<AnswerBody> {
-        let back_millis = if self.may_have_run { None } else { self.rest_back_millis() };
-        self.refuse_unless_run(reason, back_millis.unwrap_or(base_millis))
+        let return_delay_millis = if self.may_have_run { None } else { self.rest_back_millis() };
+        self.refuse_unless_run(reason, return_delay_millis.unwrap_or(base_millis))
     }
 
     /// The same, with a time to return that is known.
@@ -295,7 +295,7 @@
         let outlook = {
             let table = gateway.table();
             let may_serve = |row: &EndpointRow| table.is_home(homes, &row.entry.data_centre);
-            table.rest_outlook(&ticket.service, vms, may_serve, now)?
+            table.backoff_capacity(&ticket.service, vms, may_serve, now)?
         };
         Some(gateway.shares.queue().refuse(&ticket.service, &outlook, now))
     }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -94,7 +94,7 @@
         view,
         position: StorePosition::default(),
         confirmed_at: Moment(0),
-        rest_until: Moment(0),
+        backoff_until: Moment(0),
         behind_since: None,
         lacking_since: None,
         told_position: StorePosition::default(),
@@ -111,7 +111,7 @@
         if follower.list_all().await {
             while follower.step(&mut told).await {}
         } else {
-            follower.gateway.until(follower.rest_until).await;
+            follower.gateway.until(follower.backoff_until).await;
         }
     }
 }
@@ -153,7 +153,7 @@
     /// When the store last told that `position` stands, directly or through another VM.
     confirmed_at: Moment,
     /// No call before then.
-    rest_until: Moment,
+    backoff_until: Moment,
     /// Since when other VMs tell of a position whose changes this one lacks.
     behind_since: Option<Moment>,
     /// Since when changes are lacking that others tell of; [`Moment::NEVER`] once that was logged.
@@ -217,7 +217,7 @@
             let beyond = self.gateway.peers().local_peer_count().saturating_sub(CATCH_UP_VMS) as u64;
             since.after_millis(CATCH_UP_MILLIS + CATCH_UP_STEP_MILLIS * beyond)
         });
-        turn.min(catch_up).max(self.rest_until)
+        turn.min(catch_up).max(self.backoff_until)
     }
 
     /// Takes what another VM of this data centre heard from the store.
@@ -397,7 +397,7 @@
         self.answered(page.position.max(from));
         self.history.push(from, self.position, &events, self.confirmed_at);
         if !events.is_empty() {
-            self.rest_until = self.gateway.now().after_millis(GATHER_MILLIS);
+            self.backoff_until = self.gateway.now().after_millis(GATHER_MILLIS);
         }
         // Who only caught up, or heard meanwhile from a VM that goes before it, tells nothing again.
         if waits && self.is_asking {
@@ -540,7 +540,7 @@
             log::warn!(dependency = "store", call = kind, cause = cause.as_str(); "dependency.lost");
         }
         let pause = RETRY_MILLIS << self.failures.min(4);
-        self.rest_until = now.after_millis(pause.min(RETRY_MOST_MILLIS));
+        self.backoff_until = now.after_millis(pause.min(RETRY_MOST_MILLIS));
         None
     }
 
--- a/crates/policy/src/cell.rs
+++ b/crates/policy/src/cell.rs
@@ -57,7 +57,7 @@
     exporting: u32,
     export_until: Moment,
     /// After an export the link is left alone for as long as it took.
-    rest_until: Moment,
+    backoff_until: Moment,
     /// Pieces that it has room for; none before its listing was read.
     room: Option<u32>,
 }
@@ -370,7 +370,7 @@
             if now >= store.export_until {
                 store.exporting = 0;
             }
-            if busy || store.exporting >= EXPORT_WINDOW || (now < store.rest_until && !order.returns) {
+            if busy || store.exporting >= EXPORT_WINDOW || (now < store.backoff_until && !order.returns) {
                 left.push_back(order);
                 continue;
             }
@@ -399,7 +399,7 @@
     fn exported(&mut self, context: &mut Context<'_>, store: &str, pool: &str, keys: &[u64], micros: u64) {
         let state = self.stores.entry(store.to_owned()).or_default();
         state.exporting = state.exporting.saturating_sub(1);
-        state.rest_until = context.now.after_micros(micros);
+        state.backoff_until = context.now.after_micros(micros);
         let kept = self.kept.entry(pool.to_owned()).or_default();
         for (depth, key) in keys.iter().enumerate() {
             kept.insert(store, *key, depth as u32, context.now);
