--- a/crates/decide/src/admit/placement.rs
+++ b/crates/decide/src/admit/placement.rs
@@ -15,7 +15,7 @@
 };
 use crate::{
     ColdTerms, EndpointKey, EndpointRow, FleetTable, HomeRegions, LoadCount, PromptSegment, RateTerms,
-    ShareRight, VersionSplit, WantedWeights, short_digest,
+    RequiredWeights, ShareRight, VersionSplit, short_digest,
 };
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 
@@ -72,7 +72,7 @@
     /// The model, if the request names one.
     pub model: Option<&'a str>,
     /// The versions of its weights that are wanted, if any was named.
-    pub wanted: Option<&'a WantedWeights>,
+    pub wanted: Option<&'a RequiredWeights>,
     /// Part of an engine's memory that the request may fill up.
     pub memory_fraction: f64,
     /// Regions that the request may be served in.
--- a/crates/decide/src/fleet/endpoint_row.rs
+++ b/crates/decide/src/fleet/endpoint_row.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::peer_loads::PeerLoads;
 use crate::fleet::told_health::ToldHealth;
-use crate::{EndpointBackoff, EndpointEntry, KeptParts, NamedLimit, RecentSends, SendReport, VmKey};
+use crate::{EndpointBackoff, EndpointEntry, KeptParts, RecentSends, ReportedLimit, SendReport, VmKey};
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
@@ -100,7 +100,7 @@
     /// Until when it is cold, and bears a few requests a second only.
     pub cold_until: Moment,
     /// Requests a second that it takes from all VMs together.
-    pub limit: NamedLimit,
+    pub limit: ReportedLimit,
     /// The rest that it asked this VM for.
     pub rest: EndpointBackoff,
     /// Whether an answer of it said that it leaves.
@@ -142,7 +142,7 @@
             is_unreadable: false,
             evacuated_until: Moment(0),
             cold_until: Moment(0),
-            limit: NamedLimit::default(),
+            limit: ReportedLimit::default(),
             rest: EndpointBackoff::default(),
             has_departed: false,
             odd_headers: Vec::new(),
--- a/crates/decide/src/fleet/named_limit.rs
+++ b/crates/decide/src/fleet/reported_limit.rs
@@ -54,7 +54,7 @@
 
 /// The newest report of an endpoint's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct NamedLimit {
+pub struct ReportedLimit {
     report: Option<LimitReport>,
     /// When the report is next repeated to other VMs.
     repeat_at: Moment,
@@ -78,7 +78,7 @@
     }
 }
 
-impl NamedLimit {
+impl ReportedLimit {
     /// Applies a report, from an answer to this VM or from another VM.
     ///
     /// # Examples
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -31,11 +31,11 @@
     AccountRow, BackoffChange, CacheUpdate, CloseReporter, ColdSpec, DeploymentConfig, EndpointBackoff,
     EndpointCopy, EndpointEntry, EndpointKey, EndpointRow, EngineReport, EngineSpec, FleetCounts, FleetSweep,
     FleetTable, HomeRegions, KeptChange, LEADERS_PER_DATA_CENTRE, LimitChange, LimitReport, LinkMoves,
-    LoadCount, LoadSource, NamedLimit, PIECE_BYTES, PIECES_LIMIT, PeerHeartbeat, PeerTable, PromptSegment,
-    PropagationPlan, ReassemblyProgress, RequestLimits, RouteKind, RouteRow, RouteTable, SendOutcome,
-    SendReport, ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec, UpdateFragment,
-    UpdateHistory, UpdateReassembly, VmEntry, VmKey, WeightTarget, pack, pick_target, short_digest,
-    split_update, unpack,
+    LoadCount, LoadSource, PIECE_BYTES, PIECES_LIMIT, PeerHeartbeat, PeerTable, PromptSegment,
+    PropagationPlan, ReassemblyProgress, ReportedLimit, RequestLimits, RouteKind, RouteRow, RouteTable,
+    SendOutcome, SendReport, ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec,
+    UpdateFragment, UpdateHistory, UpdateReassembly, VmEntry, VmKey, WeightTarget, pack, pick_target,
+    short_digest, split_update, unpack,
 };
 pub use kept::{
     IndexReporter, KeptParts, KeptPlan, KeptRow, PollSchedule, StoreRow, ToldBooks, outdated_segments,
@@ -52,6 +52,6 @@
     TestDraw, VersionSplit, WaitingSums,
 };
 pub use weights::{
-    EngineState, HolderRecord, HolderStanding, NamedVersion, NamedWeights, NamingRecord, NamingTime,
-    WantedWeights, WeightScheduler, WeightStep,
+    EngineState, HolderRecord, HolderStanding, NamingTime, PublicationRecord, PublishedVersion,
+    PublishedWeights, RequiredWeights, WeightScheduler, WeightStep,
 };
--- a/crates/decide/src/weights/mod.rs
+++ b/crates/decide/src/weights/mod.rs
@@ -1,11 +1,11 @@
 //! Which engine loads which weights next.
 
-mod named_weights;
-mod naming_record;
-mod wanted_weights;
+mod publication_record;
+mod published_weights;
+mod required_weights;
 mod weight_scheduler;
 
-pub use named_weights::{NamedVersion, NamedWeights};
-pub use naming_record::{NamingRecord, NamingTime};
-pub use wanted_weights::WantedWeights;
+pub use publication_record::{NamingTime, PublicationRecord};
+pub use published_weights::{PublishedVersion, PublishedWeights};
+pub use required_weights::RequiredWeights;
 pub use weight_scheduler::{EngineState, HolderRecord, HolderStanding, WeightScheduler, WeightStep};
--- a/crates/decide/src/weights/naming_record.rs
+++ b/crates/decide/src/weights/publication_record.rs
@@ -3,7 +3,7 @@
 //! Invariant: times are told on the engines' clock, which goes on while VMs do not; a record never makes a naming
 //! younger than its writer knew it.
 
-use crate::NamedWeights;
+use crate::PublishedWeights;
 use serde::{Deserialize, Serialize};
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 
@@ -22,14 +22,14 @@
 
 /// When the versions of one model were named that matter still.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamingRecord {
+pub struct PublicationRecord {
     /// Short digest of the model's name.
     pub model: u64,
     /// The namings, oldest first.
     pub namings: Vec<NamingTime>,
 }
 
-impl NamingRecord {
+impl PublicationRecord {
     /// What is known of a model at `now`, when the engines' clock stands at `clock_millis`.
     ///
     /// # Examples
@@ -42,7 +42,7 @@
     /// assert_eq!(record.namings[0].clock_millis, 95);
     /// assert_eq!(record.ages(102).next(), Some((2, 7_000)));
     /// ```
-    pub fn new(model: u64, weights: &NamedWeights, clock_millis: u64, now: Moment) -> Self {
+    pub fn new(model: u64, weights: &PublishedWeights, clock_millis: u64, now: Moment) -> Self {
         let namings = weights.versions().iter().map(|row| {
             let age_millis = now.micros_since(row.since) / MICROS_PER_MILLI;
             NamingTime { version: row.version, clock_millis: clock_millis.saturating_sub(age_millis) }
--- a/crates/decide/src/weights/named_weights.rs
+++ b/crates/decide/src/weights/published_weights.rs
@@ -3,23 +3,23 @@
 //! Invariant: a naming counts from the earliest moment that anybody has told, whoever told it, and each
 //! version counts by its own naming: a newer one takes nothing back from the bound that an earlier one set.
 
-use crate::WantedWeights;
+use crate::RequiredWeights;
 use spanfold_entity::Moment;
 
 /// Versions named for one model, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct NamedWeights(Vec<NamedVersion>);
+pub struct PublishedWeights(Vec<PublishedVersion>);
 
 /// One version that was named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NamedVersion {
+pub struct PublishedVersion {
     /// The version.
     pub version: u64,
     /// When it was named, as far as known: not earlier than in truth.
     pub since: Moment,
 }
 
-impl NamedWeights {
+impl PublishedWeights {
     /// Takes that `named` was named; returns whether that is news.
     ///
     /// Versions older than one that has been named for `version_millis` are forgotten: whatever they rule out, it
@@ -35,7 +35,7 @@
     /// assert!(weights.note(NamedVersion { version: 2, since: Moment(5) }, 10, Moment(9)));
     /// assert_eq!(weights.newest(), Some(3));
     /// ```
-    pub fn note(&mut self, named: NamedVersion, version_millis: u64, now: Moment) -> bool {
+    pub fn note(&mut self, named: PublishedVersion, version_millis: u64, now: Moment) -> bool {
         let is_news = match self.0.binary_search_by_key(&named.version, |row| row.version) {
             Ok(place) => {
                 self.0[place].since = self.0[place].since.min(named.since);
@@ -57,7 +57,7 @@
     }
 
     /// All versions that matter, oldest first.
-    pub fn versions(&self) -> &[NamedVersion] {
+    pub fn versions(&self) -> &[PublishedVersion] {
         &self.0
     }
 
@@ -73,8 +73,8 @@
     /// assert_eq!(wanted.last_start(1), Moment(5).after_millis(10));
     /// assert_eq!(wanted.last_start(2), Moment::NEVER);
     /// ```
-    pub fn wanted(&self, version_millis: u64) -> Option<WantedWeights> {
+    pub fn wanted(&self, version_millis: u64) -> Option<RequiredWeights> {
         let bounds = self.0.iter().map(|row| (row.version, row.since.after_millis(version_millis)));
-        Some(WantedWeights { newest: self.newest()?, bounds: bounds.collect() })
+        Some(RequiredWeights { newest: self.newest()?, bounds: bounds.collect() })
     }
 }
--- a/crates/decide/src/weights/wanted_weights.rs
+++ b/crates/decide/src/weights/required_weights.rs
@@ -4,14 +4,14 @@
 
 /// What is wanted of the weights that a request starts on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct WantedWeights {
+pub struct RequiredWeights {
     /// The newest version.
     pub newest: u64,
     /// Versions that were named, each with the moment from which no request may start on older ones.
     pub bounds: Vec<(u64, Moment)>,
 }
 
-impl WantedWeights {
+impl RequiredWeights {
     /// The moment from which no request may start on `version`.
     ///
     /// # Examples
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -2,8 +2,8 @@
 
 use spanfold_decide::{
     CacheUpdate, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions,
-    KeptChange, LoadCount, LoadSource, PlacementChoice, PlacementRequest, PromptSegment, SendOutcome,
-    ServiceRow, ShareView, StoreSpec, VersionSplit, VmKey, WantedWeights, place,
+    KeptChange, LoadCount, LoadSource, PlacementChoice, PlacementRequest, PromptSegment, RequiredWeights,
+    SendOutcome, ServiceRow, ShareView, StoreSpec, VersionSplit, VmKey, place,
 };
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
@@ -147,7 +147,7 @@
 #[test]
 fn weights_that_are_overdue_get_no_request() {
     let table = table(&[entry("i-1", "dc-a", 1), entry("i-2", "dc-b", 2)]);
-    let wanted = |bound| WantedWeights { newest: 2, bounds: vec![(2, bound)] };
+    let wanted = |bound| RequiredWeights { newest: 2, bounds: vec![(2, bound)] };
     let (fresh, overdue) = (wanted(NOW.after_millis(9_000)), wanted(NOW));
     // Old weights are only a drawback, until they are overdue.
     let small = PlacementRequest { bytes: 100, ..ask() };
@@ -164,7 +164,7 @@
 fn a_request_is_not_sent_where_weights_may_be_overdue_when_it_begins() {
     // A prompt that waited 1.8 s at its engine began 10.5 s after newer weights were named, where 10 s are allowed.
     let mut table = table(&[entry("i-1", "dc-a", 1)]);
-    let wanted = WantedWeights { newest: 2, bounds: vec![(2, NOW.after_millis(2_500))] };
+    let wanted = RequiredWeights { newest: 2, bounds: vec![(2, NOW.after_millis(2_500))] };
     let ask = PlacementRequest { wanted: Some(&wanted), ..ask() };
     assert!(place(&table, &ask, NOW).is_some());
     // When the bound is near.
--- a/crates/decide/tests/named_weights.rs
+++ b/crates/decide/tests/published_weights.rs
@@ -1,6 +1,6 @@
 //! Which versions were named, and since when.
 
-use spanfold_decide::{NamedVersion, NamedWeights, NamingRecord};
+use spanfold_decide::{PublicationRecord, PublishedVersion, PublishedWeights};
 use spanfold_entity::Moment;
 
 const VERSION_MILLIS: u64 = 10_000;
@@ -9,12 +9,12 @@
     Moment(0).after_millis(millis)
 }
 
-fn version(version: u64, millis: u64) -> NamedVersion {
-    NamedVersion { version, since: at(millis) }
+fn version(version: u64, millis: u64) -> PublishedVersion {
+    PublishedVersion { version, since: at(millis) }
 }
 
-fn named(rows: &[(u64, u64)]) -> NamedWeights {
-    let mut weights = NamedWeights::default();
+fn named(rows: &[(u64, u64)]) -> PublishedWeights {
+    let mut weights = PublishedWeights::default();
     for (row, millis) in rows {
         weights.note(version(*row, *millis), VERSION_MILLIS, at(0));
     }
@@ -66,7 +66,7 @@
 #[test]
 fn a_record_gives_back_the_age_that_a_naming_has_by_the_engines_clock() {
     let weights = named(&[(2, 1_000), (3, 5_000)]);
-    let record = NamingRecord::new(7, &weights, 90_000, at(6_000));
+    let record = PublicationRecord::new(7, &weights, 90_000, at(6_000));
     let ages: Vec<_> = record.ages(92_000).collect();
     assert_eq!(ages, [(2, 7_000_000), (3, 3_000_000)]);
     // A clock that seems to go back makes nothing older.
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_record_covers_what_it_tells_as_early_or_earlier() {
-    let record = |rows: &[(u64, u64)]| NamingRecord::new(7, &named(rows), 90_000, at(9_000));
+    let record = |rows: &[(u64, u64)]| PublicationRecord::new(7, &named(rows), 90_000, at(9_000));
     let held = record(&[(2, 1_000), (3, 5_000)]);
     assert!(held.covers(&held));
     assert!(held.covers(&record(&[(3, 6_000)])));
--- a/crates/decide/tests/named_limit.rs
+++ b/crates/decide/tests/reported_limit.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use spanfold_decide::{LimitChange, LimitReport, NamedLimit};
+use spanfold_decide::{LimitChange, LimitReport, ReportedLimit};
 use spanfold_entity::Moment;
 
 /// A report of an answer whose request was sent, and which came, at so many milliseconds.
@@ -10,8 +10,8 @@
     LimitReport { per_s, sent_at: Moment(sent * 1_000), received_at: Moment(received * 1_000) }
 }
 
-fn after(reports: &[LimitReport]) -> NamedLimit {
-    let mut limit = NamedLimit::default();
+fn after(reports: &[LimitReport]) -> ReportedLimit {
+    let mut limit = ReportedLimit::default();
     for report in reports {
         limit.observe(*report);
     }
@@ -20,7 +20,7 @@
 
 #[test]
 fn another_value_stands_at_once_whether_lower_or_higher() {
-    let mut limit = NamedLimit::default();
+    let mut limit = ReportedLimit::default();
     assert_eq!(limit.observe(report(None, 0, 5)), LimitChange::None);
     assert_eq!(limit.observe(report(Some(1.4), 10, 20)), LimitChange::Begun);
     assert_eq!(limit.observe(report(Some(1.4), 20, 30)), LimitChange::None);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -17,9 +17,9 @@
 use crate::store::CopyDesk;
 use crate::store::store_era::StoreEra;
 use crate::{
-    BudgetTerms, EndpointRow, FleetTable, IdentityKey, ListStanding, NamedVersion, NamedWeights,
-    PlacementChoice, PlacementRequest, QuarantineMessage, RetryBudget, RolloutTable, RouteTable, SendReport,
-    StorePosition, VmEntry, VmKey, WantedWeights, WeightTarget, WireDialect, place, short_digest,
+    BudgetTerms, EndpointRow, FleetTable, IdentityKey, ListStanding, PlacementChoice, PlacementRequest,
+    PublishedVersion, PublishedWeights, QuarantineMessage, RequiredWeights, RetryBudget, RolloutTable,
+    RouteTable, SendReport, StorePosition, VmEntry, VmKey, WeightTarget, WireDialect, place, short_digest,
 };
 use spanfold_declare::GatewaySettings;
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
@@ -64,7 +64,7 @@
     budget: Mutex<RetryBudget>,
     /// What was named for each model, by the digest of its name: other VMs tell of models too that this one
     /// has not read of in the store.
-    weights: RwLock<BTreeMap<u64, NamedWeights>>,
+    weights: RwLock<BTreeMap<u64, PublishedWeights>>,
     peers: Mutex<PeerTable>,
     /// The engines' clock in milliseconds, and when it was told.
     engine_clock: Mutex<Option<(u64, Moment)>>,
@@ -350,13 +350,13 @@
     }
 
     /// The versions that a request to `model` may start on, if one was named.
-    pub(crate) fn wanted_weights(&self, model: &str) -> Option<WantedWeights> {
+    pub(crate) fn required_weights(&self, model: &str) -> Option<RequiredWeights> {
         let weights = self.weights.read().unwrap_or_else(PoisonError::into_inner);
         weights.get(&short_digest(model))?.wanted(self.settings.version_ms)
     }
 
     /// What was named for each model, by the digest of its name.
-    pub(crate) fn namings(&self) -> BTreeMap<u64, NamedWeights> {
+    pub(crate) fn namings(&self) -> BTreeMap<u64, PublishedWeights> {
         self.weights.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
@@ -378,7 +378,7 @@
         let now = self.now();
         for (model, version, age) in ages {
             let since = Moment(now.0.saturating_sub(*age));
-            if self.note_named(*model, NamedVersion { version: *version, since }, now) {
+            if self.note_named(*model, PublishedVersion { version: *version, since }, now) {
                 log::info!(model, version, age_ms = age / MICROS_PER_MILLI; "weights.told");
             }
         }
@@ -387,11 +387,11 @@
     /// Takes a version that the store has told; returns whether that is news.
     pub(crate) fn name_weights(&self, target: &WeightTarget) -> bool {
         let now = self.now();
-        let named = NamedVersion { version: target.version, since: now };
+        let named = PublishedVersion { version: target.version, since: now };
         self.note_named(short_digest(&target.model), named, now)
     }
 
-    fn note_named(&self, model: u64, named: NamedVersion, now: Moment) -> bool {
+    fn note_named(&self, model: u64, named: PublishedVersion, now: Moment) -> bool {
         let mut weights = self.weights.write().unwrap_or_else(PoisonError::into_inner);
         weights.entry(model).or_default().note(named, self.settings.version_ms, now)
     }
--- a/crates/gateway/src/orders/naming_task.rs
+++ b/crates/gateway/src/orders/naming_task.rs
@@ -10,7 +10,7 @@
 use crate::orders::order_task::read_report;
 use crate::store::lease_keeper::OrderRight;
 use crate::store::store_link::StoreLink;
-use crate::{EndpointKey, NamingRecord, StoreItem, StorePosition, StoreTransaction};
+use crate::{EndpointKey, PublicationRecord, StoreItem, StorePosition, StoreTransaction};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 /// A model's record as the store holds it.
 #[derive(Debug)]
 struct HeldRecord {
-    record: NamingRecord,
+    record: PublicationRecord,
     position: StorePosition,
 }
 
@@ -116,7 +116,7 @@
         let now = self.gateway.now();
         let Some(clock) = self.gateway.engine_clock_at(now) else { return false };
         for (model, weights) in self.gateway.namings() {
-            let known = NamingRecord::new(model, &weights, clock, now);
+            let known = PublicationRecord::new(model, &weights, clock, now);
             let held = self.held.as_ref().and_then(|held| held.get(&model));
             if !held.is_some_and(|held| held.record.covers(&known)) {
                 let position = held.map(|held| held.position);
@@ -130,7 +130,7 @@
         true
     }
 
-    async fn write(&mut self, record: NamingRecord, position: Option<StorePosition>) -> bool {
+    async fn write(&mut self, record: PublicationRecord, position: Option<StorePosition>) -> bool {
         let key = format!("{NAMED_PREFIX}{:016x}", record.model);
         // Plain structs of numbers always have a JSON form.
         let value = serde_json::to_vec(&record).unwrap_or_default();
@@ -154,7 +154,7 @@
 }
 
 fn read_record(item: &StoreItem) -> Option<(u64, HeldRecord)> {
-    match serde_json::from_slice::<NamingRecord>(&item.value) {
+    match serde_json::from_slice::<PublicationRecord>(&item.value) {
         Ok(record) => Some((record.model, HeldRecord { record, position: item.position })),
         Err(error) => {
             log::error!(key = item.key.as_str(), cause:% = error; "namings.unreadable");
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -163,7 +163,7 @@
         let model = ticket.model.as_deref();
         // What went out once was admitted.
         let admission = ticket.admission().filter(|_| self.sends == 0);
-        let wanted = model.and_then(|model| gateway.wanted_weights(model));
+        let wanted = model.and_then(|model| gateway.required_weights(model));
         let silent = gateway.cut_data_centres();
         let silent: Vec<&str> = silent.iter().map(String::as_str).collect();
         // A change of homes holds for what waits, too.
@@ -458,7 +458,7 @@
     /// When the engine's weights become overdue: the request must have begun by then. Its expected start is only an estimate.
     fn begin_until(&self) -> Moment {
         let version = self.choice.as_ref().and_then(|choice| choice.version);
-        let wanted = self.ticket.model.as_deref().and_then(|model| self.gateway.wanted_weights(model));
+        let wanted = self.ticket.model.as_deref().and_then(|model| self.gateway.required_weights(model));
         let (Some(version), Some(wanted)) = (version, wanted) else { return Moment::NEVER };
         match wanted.last_start(version) {
             Moment::NEVER => Moment::NEVER,
