--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -42,7 +42,7 @@
     salted_key,
 };
 pub use quarantine::{
-    CrashLedger, CrashVerdict, ENDINGS_LEAST, EndingReport, EndpointEnding, IdentityKey, KeyTextError,
+    CrashHistory, CrashReport, CrashVerdict, ENDINGS_LEAST, EndpointCrash, IdentityKey, KeyTextError,
     QuarantineChange, QuarantineMessage, QuarantinePhase, QuarantineTable, QuarantinedRequest,
     RequestIdentity, RequestKey, RequestQuarantine,
 };
--- a/crates/decide/src/quarantine/crash_ledger.rs
+++ b/crates/decide/src/quarantine/crash_history.rs
@@ -15,7 +15,7 @@
 //! So in a quiet fleet three ends within a second of the request's begin suffice, while in a fleet whose endpoints
 //! fall over by themselves, or a data centre at once, many more are needed.
 
-use crate::{EndingReport, EndpointEnding, EndpointKey, RequestKey};
+use crate::{CrashReport, EndpointCrash, EndpointKey, RequestKey};
 use spanfold_entity::{MICROS_PER_MILLI, MICROS_PER_SECOND, Moment};
 use std::collections::BTreeMap;
 
@@ -66,7 +66,7 @@
 
 #[derive(Debug)]
 struct EndingRow {
-    ending: EndpointEnding,
+    ending: EndpointCrash,
     runs: Vec<LastRun>,
     /// A request that is held back was its cause: it says nothing of how often endpoints end otherwise.
     is_explained: bool,
@@ -100,26 +100,26 @@
 
 /// Ends of endpoints, and what ran there.
 #[derive(Debug, Default)]
-pub struct CrashLedger {
+pub struct CrashHistory {
     endings: BTreeMap<EndpointKey, EndingRow>,
     requests: BTreeMap<RequestKey, Vec<EndpointKey>>,
     answered: BTreeMap<RequestKey, Moment>,
     runs: usize,
 }
 
-impl CrashLedger {
+impl CrashHistory {
     /// Whether no request was at an endpoint's end lately.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
     /// Endpoints that ended under a request.
-    pub fn endings_of(&self, request: RequestKey) -> usize {
+    pub fn crashes_of(&self, request: RequestKey) -> usize {
         self.requests.get(&request).map_or(0, Vec::len)
     }
 
     /// Notes that an endpoint ended, whatever ran there.
-    pub fn record_crash(&mut self, ending: EndpointEnding) {
+    pub fn record_crash(&mut self, ending: EndpointCrash) {
         if self.endings.len() >= ENDINGS_LIMIT && !self.endings.contains_key(&ending.start) {
             self.drop_endings();
         }
@@ -128,8 +128,8 @@
     }
 
     /// Takes a report; false if it is known, or older than an answer to the request.
-    pub fn take(&mut self, report: &EndingReport) -> bool {
-        let EndingReport { request, ending, age_micros } = *report;
+    pub fn take(&mut self, report: &CrashReport) -> bool {
+        let CrashReport { request, ending, age_micros } = *report;
         if self.answered.get(&request).is_some_and(|at| ending.at <= *at) {
             return false;
         }
@@ -197,10 +197,10 @@
     }
 
     /// All reports, the latest ends last.
-    pub fn reports(&self) -> Vec<EndingReport> {
+    pub fn reports(&self) -> Vec<CrashReport> {
         let rows = self.endings.values().flat_map(|row| {
             let reports = row.runs.iter();
-            reports.map(|run| EndingReport {
+            reports.map(|run| CrashReport {
                 request: run.request,
                 ending: row.ending,
                 age_micros: run.age_micros,
@@ -224,22 +224,22 @@
 
     /// Whether an end is put down to `run`: no other request there has more ends, or as many and is younger.
     fn is_blamed(&self, run: &LastRun, row: &EndingRow) -> bool {
-        let own = self.endings_of(run.request);
+        let own = self.crashes_of(run.request);
         row.runs.iter().filter(|other| other.request != run.request).all(|other| {
-            let others = self.endings_of(other.request);
+            let others = self.crashes_of(other.request);
             let is_younger = (run.age_micros, run.request) < (other.age_micros, other.request);
             others < own || (others == own && own >= TIE_ENDINGS && is_younger)
         })
     }
 
     /// The chance that an endpoint ends within the age of a run for a reason that has nothing to do with it.
-    fn chance(&self, run: &LastRun, ending: &EndpointEnding) -> f64 {
+    fn chance(&self, run: &LastRun, ending: &EndpointCrash) -> f64 {
         let age = run.age_micros.max(AGE_LEAST_MICROS) as f64 / MICROS_PER_SECOND as f64;
         (self.rate(run.request, ending) * age).clamp(CHANCE_LEAST, 1.0)
     }
 
     /// Ends of an endpoint a second around `ending` for reasons that have nothing to do with `request`.
-    fn rate(&self, request: RequestKey, ending: &EndpointEnding) -> f64 {
+    fn rate(&self, request: RequestKey, ending: &EndpointCrash) -> f64 {
         let (mut near, mut at_place) = ([0_u32; SPANS_MILLIS.len()], 0_u32);
         let mut has_ended_before = false;
         let others =
--- a/crates/decide/src/quarantine/ending.rs
+++ b/crates/decide/src/quarantine/ending.rs
@@ -5,7 +5,7 @@
 
 /// An endpoint that ended without having said that it leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EndpointEnding {
+pub struct EndpointCrash {
     /// Which start of which endpoint.
     pub start: EndpointKey,
     /// Short digest of its address.
@@ -20,11 +20,11 @@
 
 /// A request that an endpoint had when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EndingReport {
+pub struct CrashReport {
     /// The request.
     pub request: RequestKey,
     /// The endpoint's end.
-    pub ending: EndpointEnding,
+    pub ending: EndpointCrash,
     /// For how long the endpoint had been at the request, in microseconds: since it began to answer, or since the
     /// request was sent if it had not.
     pub age_micros: u64,
--- a/crates/decide/src/quarantine/quarantine_message.rs
+++ b/crates/decide/src/quarantine/quarantine_message.rs
@@ -3,7 +3,7 @@
 //! Invariant: times are told as ages and rests, since each VM counts from its own start; a note that comes twice or late
 //! changes nothing more.
 
-use crate::{EndingReport, EndpointEnding, EndpointKey, RequestKey};
+use crate::{CrashReport, EndpointCrash, EndpointKey, RequestKey};
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
 
@@ -56,8 +56,8 @@
 
 impl QuarantineMessage {
     /// The note of a report.
-    pub fn of_report(report: &EndingReport, now: Moment) -> Self {
-        let EndpointEnding { start, place, service, among, at } = report.ending;
+    pub fn of_report(report: &CrashReport, now: Moment) -> Self {
+        let EndpointCrash { start, place, service, among, at } = report.ending;
         let (request, age_micros) = (report.request, report.age_micros);
         Self::Ended { request, start, place, service, among, age_micros, ago_micros: now.micros_since(at) }
     }
--- a/crates/decide/src/quarantine/request_quarantine.rs
+++ b/crates/decide/src/quarantine/request_quarantine.rs
@@ -4,7 +4,7 @@
 //! taken over by the others without their having seen any of it.
 
 use crate::{
-    CrashLedger, CrashVerdict, ENDINGS_LEAST, EndingReport, EndpointEnding, QuarantineMessage,
+    CrashHistory, CrashReport, CrashVerdict, ENDINGS_LEAST, EndpointCrash, QuarantineMessage,
     QuarantinePhase, QuarantineTable, QuarantinedRequest, RequestKey,
 };
 
@@ -53,7 +53,7 @@
 /// Evidence and holds of one VM.
 #[derive(Debug, Default)]
 pub struct RequestQuarantine {
-    ledger: CrashLedger,
+    ledger: CrashHistory,
     book: QuarantineTable,
     /// Requests that are to be judged, and when.
     unjudged: BTreeMap<RequestKey, Moment>,
@@ -95,17 +95,17 @@
 
     /// Whether anything is known of a request.
     pub fn knows(&self, request: RequestKey) -> bool {
-        self.book.knows(request) || self.ledger.endings_of(request) > 0
+        self.book.knows(request) || self.ledger.crashes_of(request) > 0
     }
 
     /// Endpoints that ended under a request, as far as is known here.
-    pub fn endings_of(&self, request: RequestKey) -> usize {
-        self.ledger.endings_of(request)
+    pub fn crashes_of(&self, request: RequestKey) -> usize {
+        self.ledger.crashes_of(request)
     }
 
     /// Whether the end of one more endpoint may be what holds a request back.
     pub fn is_close(&self, request: RequestKey) -> bool {
-        self.book.is_on_trial(request) || self.ledger.endings_of(request) + 1 >= ENDINGS_LEAST
+        self.book.is_on_trial(request) || self.ledger.crashes_of(request) + 1 >= ENDINGS_LEAST
     }
 
     /// All requests that are or were held back.
@@ -119,15 +119,15 @@
     }
 
     /// Notes that an endpoint ended, whatever ran there.
-    pub fn record_crash(&mut self, ending: EndpointEnding) {
+    pub fn record_crash(&mut self, ending: EndpointCrash) {
         self.ledger.record_crash(ending);
     }
 
     /// Takes a report; whether it brings anything new.
-    pub fn take_report(&mut self, report: &EndingReport, now: Moment) -> bool {
+    pub fn take_report(&mut self, report: &CrashReport, now: Moment) -> bool {
         let is_new = self.ledger.take(report);
         let request = report.request;
-        let may_be_fatal = self.ledger.endings_of(request) >= ENDINGS_LEAST || self.book.is_on_trial(request);
+        let may_be_fatal = self.ledger.crashes_of(request) >= ENDINGS_LEAST || self.book.is_on_trial(request);
         if is_new && self.book.held(request, now).is_some() {
             self.ledger.explain(request);
         } else if is_new && may_be_fatal {
@@ -174,8 +174,8 @@
         let before = |micros: u64| Moment(now.0.saturating_sub(micros));
         match *note {
             QuarantineMessage::Ended { request, start, place, service, among, age_micros, ago_micros } => {
-                let ending = EndpointEnding { start, place, service, among, at: before(ago_micros) };
-                let report = EndingReport { request, ending, age_micros };
+                let ending = EndpointCrash { start, place, service, among, at: before(ago_micros) };
+                let report = CrashReport { request, ending, age_micros };
                 (self.take_report(&report, now), Vec::new())
             }
             QuarantineMessage::Answered { request, ago_micros } => {
--- a/crates/decide/tests/crash_ledger.rs
+++ b/crates/decide/tests/crash_history.rs
@@ -4,7 +4,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
-    CrashLedger, EndingReport, EndpointEnding, EndpointKey, IdentityKey, RequestIdentity, RequestKey,
+    CrashHistory, CrashReport, EndpointCrash, EndpointKey, IdentityKey, RequestIdentity, RequestKey,
 };
 use spanfold_entity::Moment;
 
@@ -18,22 +18,22 @@
 }
 
 /// The end of the `start`th endpoint that ever ran, at a place of its own among 18.
-fn ending(start: u64, at: u64) -> EndpointEnding {
+fn ending(start: u64, at: u64) -> EndpointCrash {
     let start = EndpointKey(start);
-    EndpointEnding { start, place: start.0 + 1_000, service: 7, among: 18, at: Moment(at) }
+    EndpointCrash { start, place: start.0 + 1_000, service: 7, among: 18, at: Moment(at) }
 }
 
-fn report(number: u64, ending: EndpointEnding, age_millis: u64) -> EndingReport {
-    EndingReport { request: request(number), ending, age_micros: age_millis * MILLI }
+fn report(number: u64, ending: EndpointCrash, age_millis: u64) -> CrashReport {
+    CrashReport { request: request(number), ending, age_micros: age_millis * MILLI }
 }
 
-fn is_fatal(ledger: &CrashLedger, number: u64) -> bool {
+fn is_fatal(ledger: &CrashHistory, number: u64) -> bool {
     ledger.verdict(request(number)).is_fatal()
 }
 
 #[test]
 fn three_ends_soon_after_the_begin_are_enough_in_a_quiet_fleet() {
-    let mut ledger = CrashLedger::default();
+    let mut ledger = CrashHistory::default();
     for start in 0..3 {
         assert!(!is_fatal(&ledger, 1));
         ledger.take(&report(1, ending(start, 2 * start * SECOND), 300));
@@ -43,29 +43,29 @@
 
 #[test]
 fn the_same_end_told_twice_counts_once() {
-    let mut ledger = CrashLedger::default();
+    let mut ledger = CrashHistory::default();
     let told = report(1, ending(1, SECOND), 50);
     assert!(ledger.take(&told));
     assert!(!ledger.take(&told));
-    assert_eq!(ledger.endings_of(request(1)), 1);
+    assert_eq!(ledger.crashes_of(request(1)), 1);
 }
 
 #[test]
 fn a_new_start_of_the_same_endpoint_is_another_end() {
-    let mut ledger = CrashLedger::default();
+    let mut ledger = CrashHistory::default();
     for born in 0..3 {
         let mut ending = ending(1, born * 4 * SECOND);
         ending.start = EndpointKey::of_start("i-1", Some(born));
         ledger.take(&report(1, ending, 60));
     }
-    assert_eq!(ledger.endings_of(request(1)), 3);
+    assert_eq!(ledger.crashes_of(request(1)), 3);
 }
 
 #[test]
 fn a_service_of_one_endpoint_is_protected_within_three_more_ends() {
-    let mut ledger = CrashLedger::default();
+    let mut ledger = CrashHistory::default();
     for born in 0..6 {
-        let mut ending = EndpointEnding { among: 1, ..ending(1, born * 4 * SECOND) };
+        let mut ending = EndpointCrash { among: 1, ..ending(1, born * 4 * SECOND) };
         ending.start = EndpointKey::of_start("i-1", Some(born));
         ledger.take(&report(1, ending, 150));
     }
@@ -74,20 +74,20 @@
 
 #[test]
 fn a_request_that_an_endpoint_ran_to_its_end_is_cleared_also_of_ends_told_later() {
-    let mut ledger = CrashLedger::default();
+    let mut ledger = CrashHistory::default();
     for start in 0..2 {
         ledger.take(&report(1, ending(start, start * SECOND), 50));
     }
     assert!(ledger.clear(request(1), Moment(3 * SECOND)));
     assert!(!ledger.take(&report(1, ending(2, 2 * SECOND), 50)));
     ledger.take(&report(1, ending(3, 4 * SECOND), 50));
-    assert_eq!(ledger.endings_of(request(1)), 1);
+    assert_eq!(ledger.crashes_of(request(1)), 1);
 }
 
 #[test]
 fn others_that_ran_there_are_not_blamed() {
     // Six others are sent on together with the fatal request, twice; then it goes alone.
-    let mut ledger = CrashLedger::default();
+    let mut ledger = CrashHistory::default();
     for start in 0..2 {
         for number in 1..8 {
             ledger.take(&report(number, ending(start, start * SECOND), 60));
@@ -100,7 +100,7 @@
 
 #[test]
 fn requests_that_were_at_the_same_ends_wait_for_a_fourth() {
-    let mut ledger = CrashLedger::default();
+    let mut ledger = CrashHistory::default();
     for start in 0..3 {
         ledger.take(&report(1, ending(start, start * SECOND), 60));
         ledger.take(&report(2, ending(start, start * SECOND), 70));
@@ -112,7 +112,7 @@
 
 #[test]
 fn where_endpoints_fall_over_by_themselves_three_ends_are_not_enough() {
-    let mut ledger = CrashLedger::default();
+    let mut ledger = CrashHistory::default();
     for start in 100..130 {
         ledger.record_crash(ending(start, (start - 100) * 300 * MILLI));
     }
@@ -125,8 +125,8 @@
 #[test]
 fn an_endpoint_that_falls_over_again_and_again_blames_nobody() {
     // Its place is the same each time, and it takes others with it too.
-    let mut ledger = CrashLedger::default();
-    let at_place = |start: u64| EndpointEnding { place: 5, among: 5_500, ..ending(start, start * SECOND) };
+    let mut ledger = CrashHistory::default();
+    let at_place = |start: u64| EndpointCrash { place: 5, among: 5_500, ..ending(start, start * SECOND) };
     for start in 0..30 {
         ledger.take(&report(start % 5, at_place(start), 200));
     }
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_flood_of_first_ends_keeps_what_is_known_of_others() {
-    let mut ledger = CrashLedger::default();
+    let mut ledger = CrashHistory::default();
     for start in 0..2 {
         ledger.take(&report(0, ending(start, start * SECOND), 60));
     }
@@ -149,10 +149,10 @@
 
 #[test]
 fn evidence_is_forgotten_in_time() {
-    let mut ledger = CrashLedger::default();
+    let mut ledger = CrashHistory::default();
     ledger.take(&report(1, ending(0, 0), 60));
     ledger.sweep(Moment(899 * SECOND));
-    assert_eq!(ledger.endings_of(request(1)), 1);
+    assert_eq!(ledger.crashes_of(request(1)), 1);
     ledger.sweep(Moment(900 * SECOND));
     assert!(ledger.is_empty());
 }
@@ -183,7 +183,7 @@
 /// `follows`, the one that came back last half of the time, as new ones look idle. Gives which were found fatal.
 fn play(seed: u64, endpoints: usize, sends: u32, follows: bool, troubles: &[Trouble]) -> Vec<u64> {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut ledger = CrashLedger::default();
+    let mut ledger = CrashHistory::default();
     let mut runs: Vec<Vec<HistoryRun>> = vec![Vec::new(); endpoints];
     let mut starts: Vec<u64> = (0..endpoints as u64).collect();
     let (mut next_start, mut next_request) = (endpoints as u64, 1_000_u64);
@@ -237,11 +237,11 @@
         for place in ending {
             let start = EndpointKey(starts[place]);
             let (at, among) = (Moment(now), endpoints as u32);
-            let end = EndpointEnding { start, place: place as u64, service: 1, among, at };
+            let end = EndpointCrash { start, place: place as u64, service: 1, among, at };
             ledger.record_crash(end);
             for run in std::mem::take(&mut runs[place]) {
                 let age_micros = now - run.begun;
-                ledger.take(&EndingReport { request: request(run.number), ending: end, age_micros });
+                ledger.take(&CrashReport { request: request(run.number), ending: end, age_micros });
                 ended.push(run);
             }
             starts[place] = next_start;
--- a/crates/decide/tests/request_quarantine.rs
+++ b/crates/decide/tests/request_quarantine.rs
@@ -3,7 +3,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
-    EndingReport, EndpointEnding, EndpointKey, IdentityKey, QuarantineChange, QuarantineMessage,
+    CrashReport, EndpointCrash, EndpointKey, IdentityKey, QuarantineChange, QuarantineMessage,
     QuarantinePhase, QuarantineTable, RequestIdentity, RequestKey, RequestQuarantine,
 };
 use spanfold_entity::Moment;
@@ -18,10 +18,10 @@
     IdentityKey::derive(&[1; 32]).of(&identity)
 }
 
-fn report(number: u64, start: u64, at: Moment) -> EndingReport {
+fn report(number: u64, start: u64, at: Moment) -> CrashReport {
     let start = EndpointKey(start);
-    let ending = EndpointEnding { start, place: start.0, service: 1, among: 18, at };
-    EndingReport { request: request(number), ending, age_micros: 60_000 }
+    let ending = EndpointCrash { start, place: start.0, service: 1, among: 18, at };
+    CrashReport { request: request(number), ending, age_micros: 60_000 }
 }
 
 /// Judges what came at `at`.
@@ -131,7 +131,7 @@
     knows.take_report(&report(2, 40, at), at);
     repeat_messages(&mut knows, &mut late, at, 32);
     assert!(is_held(&late, 1, Moment(at.0 + 32 * SECOND)));
-    assert_eq!((late.endings_of(request(1)), late.endings_of(request(2))), (3, 1));
+    assert_eq!((late.crashes_of(request(1)), late.crashes_of(request(2))), (3, 1));
 }
 
 #[test]
@@ -181,7 +181,7 @@
     // Both were at four ends, and the younger one is blamed; the other goes on. Who is reported first does not matter.
     for row in 0..4 {
         let at = Moment((100 + row) * SECOND);
-        let older = EndingReport { age_micros: 90_000, ..report(2, 10 + row, at) };
+        let older = CrashReport { age_micros: 90_000, ..report(2, 10 + row, at) };
         quarantine.take_report(&older, at);
         quarantine.take_report(&report(1, 10 + row, at), at);
         quarantine.evaluate_due(Moment(at.0 + SETTLE));
--- a/crates/gateway/src/endpoints/end_watch.rs
+++ b/crates/gateway/src/endpoints/end_watch.rs
@@ -6,7 +6,7 @@
 
 use crate::endpoints::endpoint_pool::open_stream;
 use crate::gateway::Gateway;
-use crate::{EndingReport, EndpointEnding, EndpointKey, RequestKey};
+use crate::{CrashReport, EndpointCrash, EndpointKey, RequestKey};
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 use std::collections::HashMap;
 use std::io;
@@ -29,7 +29,7 @@
     /// The caller's id of it, for logs.
     pub request_id: String,
     /// What its endpoint's end would be.
-    pub ending: EndpointEnding,
+    pub ending: EndpointCrash,
     /// Since the endpoint began to answer, or since the send if it had not, in microseconds.
     pub age_micros: u64,
 }
@@ -120,7 +120,7 @@
         log::warn!(endpoint = end.endpoint.id.as_str(), sends = end.sends.len(), sign; "endpoint.ended");
         for send in &end.sends {
             let BrokenSend { request, ending, age_micros, .. } = *send;
-            self.take_own_report(&EndingReport { request, ending, age_micros }, send, &end.endpoint.id);
+            self.take_own_report(&CrashReport { request, ending, age_micros }, send, &end.endpoint.id);
         }
         end.asked.send_replace(true);
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -41,7 +41,7 @@
 };
 pub(crate) use spanfold_decide::{
     AdmissionVerdict, AdmissionView, AnswerCounts, BackoffChange, BudgetTerms, CloseReporter, ColdTerms,
-    EndingReport, EndpointCopy, EndpointEnding, EndpointRow, EngineState, ExposureTerms, FleetSweep,
+    CrashReport, EndpointCopy, EndpointCrash, EndpointRow, EngineState, ExposureTerms, FleetSweep,
     FleetTable, HeldBytes, HolderRecord, HolderStanding, IdentityKey, IndexReporter, KeptRow,
     LEADERS_PER_DATA_CENTRE, LimitChange, LimitReport, LinkMoves, ListStanding, LoadCount, LoadSource,
     PIECE_BYTES, PeerHeartbeat, PeerTable, PlacementChoice, PlacementRequest, PollSchedule, PropagationPlan,
--- a/crates/gateway/src/quarantine/quarantine_desk.rs
+++ b/crates/gateway/src/quarantine/quarantine_desk.rs
@@ -12,7 +12,7 @@
 use crate::operators::gateway_metrics::KindLabel;
 use crate::peers::load_digest::DigestScope;
 use crate::{
-    EndingReport, EndpointEnding, QuarantineChange, QuarantineMessage, QuarantinePhase, QuarantinedRequest,
+    CrashReport, EndpointCrash, QuarantineChange, QuarantineMessage, QuarantinePhase, QuarantinedRequest,
     RequestKey,
 };
 use crate::{RequestQuarantine, VmKey};
@@ -72,13 +72,13 @@
     }
 
     /// Takes that an endpoint ended while it had a request of this VM.
-    pub(crate) fn take_own_report(&self, report: &EndingReport, send: &BrokenSend, endpoint: &str) {
+    pub(crate) fn take_own_report(&self, report: &CrashReport, send: &BrokenSend, endpoint: &str) {
         let now = self.now();
         let mut desk = self.desk();
         if !desk.quarantine.take_report(report, now) {
             return;
         }
-        let endings = desk.quarantine.endings_of(report.request);
+        let endings = desk.quarantine.crashes_of(report.request);
         drop(desk);
         self.metrics.quarantine_reports.get_or_create(&KindLabel::new("own")).inc();
         log::warn!(request = send.request_id.as_str(), digest:% = report.request, endpoint,
@@ -140,7 +140,7 @@
     }
 
     /// Notes that an endpoint's entry went although it had not said that it leaves.
-    pub(crate) fn note_lapsed(&self, ending: EndpointEnding) {
+    pub(crate) fn note_lapsed(&self, ending: EndpointCrash) {
         self.desk().quarantine.record_crash(ending);
     }
 
--- a/crates/gateway/src/requests/request_run.rs
+++ b/crates/gateway/src/requests/request_run.rs
@@ -12,7 +12,7 @@
 use crate::requests::relay::answer_with;
 use crate::requests::request_ticket::RequestTicket;
 use crate::{
-    EndpointEnding, EndpointKey, EndpointRow, PlacementChoice, QueueOrder, RequestIdentity, RequestKey,
+    EndpointCrash, EndpointKey, EndpointRow, PlacementChoice, QueueOrder, RequestIdentity, RequestKey,
     TestDraw, short_digest,
 };
 use bytes::Bytes;
@@ -227,14 +227,14 @@
     }
 
     /// What the end of a send's endpoint would be; none if it leaves, or is not known any more.
-    fn ending_of(&self, flight: &SendFlight) -> Option<EndpointEnding> {
+    fn ending_of(&self, flight: &SendFlight) -> Option<EndpointCrash> {
         let now = self.gateway.now();
         let table = self.gateway.table();
         let row =
             table.row(flight.key).filter(|row| !row.has_announced_end() && row.missing_until.is_none())?;
         let service = &row.entry.service;
         let among = table.rows_of(service).filter(|(_, row)| !row.is_leaving(now)).count();
-        Some(EndpointEnding {
+        Some(EndpointCrash {
             start: flight.key,
             place: short_digest(&flight.address.to_string()),
             service: short_digest(service),
--- a/crates/gateway/src/store/store_view.rs
+++ b/crates/gateway/src/store/store_view.rs
@@ -11,7 +11,7 @@
 use crate::rollout::RECORD_PREFIX;
 use crate::store::lease_keeper::{ORDERS_KEY, VM_PREFIX};
 use crate::{
-    EndpointCopy, EndpointEnding, EndpointEntry, EntryError, RequestKey, RouteTable, StoreEvent, StoreItem,
+    EndpointCopy, EndpointCrash, EndpointEntry, EntryError, RequestKey, RouteTable, StoreEvent, StoreItem,
     StorePosition, VmEntry, short_digest,
 };
 use spanfold_entity::Moment;
@@ -333,7 +333,7 @@
             let key = table.key_of(id);
             let ending = table.row(key).filter(|row| !row.has_announced_end()).map(|row| {
                 let service = &row.entry.service;
-                EndpointEnding {
+                EndpointCrash {
                     start: key,
                     place: short_digest(&row.entry.address.to_string()),
                     service: short_digest(service),
