--- a/crates/decide/src/admit/shared_rate.rs
+++ b/crates/decide/src/admit/shared_rate.rs
@@ -116,7 +116,7 @@
 
 /// Whether the other VMs count this one among those that send, and whether it knows of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ListStanding {
+pub struct ListMembership {
     /// Since when they count it, without a break; none before it was listed.
     member_since: Option<Moment>,
     /// Until when they do so for sure.
@@ -129,7 +129,7 @@
     news_since: Option<Moment>,
 }
 
-impl ListStanding {
+impl ListMembership {
     /// Notes that this VM's entry stands in the store at `now`, until `lease_until` at least.
     ///
     /// # Examples
--- a/crates/decide/src/fleet/fleet_limits.rs
+++ b/crates/decide/src/fleet/fleet_limits.rs
@@ -147,7 +147,7 @@
     }
 
     /// Ends limits that no answer has repeated for long, and names their endpoints.
-    pub fn end_lapsed_limits(&mut self, now: Moment) -> Vec<String> {
+    pub fn expire_limits(&mut self, now: Moment) -> Vec<String> {
         let mut lapsed = Vec::new();
         for row in self.rows.values_mut() {
             if row.limit.sweep(now) {
@@ -172,17 +172,17 @@
     }
 
     /// Notes that an evacuation was taken back; whether there was one.
-    pub fn end_evacuation(&mut self, data_centre: &str) -> bool {
+    pub fn cancel_evacuation(&mut self, data_centre: &str) -> bool {
         self.mark_evacuated(data_centre, Moment(0));
         self.evacuated.remove(data_centre).is_some()
     }
 
     /// Ends evacuations whose time is over, and names them.
-    pub fn end_lapsed_evacuations(&mut self, now: Moment) -> Vec<String> {
+    pub fn expire_evacuations(&mut self, now: Moment) -> Vec<String> {
         let over: Vec<_> =
             self.evacuated.iter().filter(|(_, until)| now >= **until).map(|(name, _)| name.clone()).collect();
         for data_centre in &over {
-            self.end_evacuation(data_centre);
+            self.cancel_evacuation(data_centre);
         }
         over
     }
--- a/crates/decide/src/fleet/peer_table.rs
+++ b/crates/decide/src/fleet/peer_table.rs
@@ -9,7 +9,7 @@
 //! everyone tells everyone: it is fresher, and costs little.
 
 use crate::admit::SHARE_RETENTION_MILLIS;
-use crate::{ListStanding, ShareRight, VmKey};
+use crate::{ListMembership, ShareRight, VmKey};
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
 use std::cmp::Reverse;
@@ -277,7 +277,7 @@
 
     /// This VM's right to send to endpoints that take few requests: among all VMs whose entries stand in the store, or
     /// have gone so lately that they may still use their parts.
-    pub fn share_right(&self, standing: &ListStanding, now: Moment) -> ShareRight {
+    pub fn share_right(&self, standing: &ListMembership, now: Moment) -> ShareRight {
         let mut right = ShareRight::alone(VmKey::of(&self.own.name), &self.own.data_centre);
         right.is_fresh = standing.is_fresh(now);
         let listed = self.rows.iter().filter(|(_, row)| row.listed);
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -21,7 +21,7 @@
 mod weights;
 
 pub use admit::{
-    AdmissionVerdict, AdmissionView, BlockedCounts, BudgetTerms, ColdTerms, HeldBytes, ListStanding,
+    AdmissionVerdict, AdmissionView, BlockedCounts, BudgetTerms, ColdTerms, HeldBytes, ListMembership,
     PlacementChoice, PlacementRequest, QueueOrder, RateTerms, RecentSends, ReservationId, RetryBudget,
     ShareOutlook, ShareQueue, ShareRight, ShareVerdict, ShareView, claim_probability, place, salt_text,
     salt_version,
@@ -52,6 +52,6 @@
     TestDraw, VersionSplit, WaitingSums,
 };
 pub use weights::{
-    EngineState, HolderRecord, HolderStanding, NamingTime, PublicationRecord, PublishedVersion,
+    EngineState, LeaseHolder, LeaseOwnership, NamingTime, PublicationRecord, PublishedVersion,
     PublishedWeights, RequiredWeights, WeightScheduler, WeightStep,
 };
--- a/crates/decide/src/weights/mod.rs
+++ b/crates/decide/src/weights/mod.rs
@@ -8,4 +8,4 @@
 pub use publication_record::{NamingTime, PublicationRecord};
 pub use published_weights::{PublishedVersion, PublishedWeights};
 pub use required_weights::RequiredWeights;
-pub use weight_scheduler::{EngineState, HolderRecord, HolderStanding, WeightScheduler, WeightStep};
+pub use weight_scheduler::{EngineState, LeaseHolder, LeaseOwnership, WeightScheduler, WeightStep};
--- a/crates/decide/src/weights/weight_scheduler.rs
+++ b/crates/decide/src/weights/weight_scheduler.rs
@@ -43,7 +43,7 @@
 
 /// Who may order engines: written under a lease into the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HolderRecord {
+pub struct LeaseHolder {
     /// The VM's name.
     pub name: String,
     /// Its incarnation.
@@ -54,18 +54,18 @@
 
 /// Whose a holder's record is, as one process sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HolderStanding {
+pub enum LeaseOwnership {
     /// This process wrote it under the lease that it has now.
     Own,
     /// An earlier process of this VM wrote it: the holder is the same VM.
-    EarlierSelf,
+    PreviousProcess,
     /// This process wrote it under a lease that has ended: the record is gone, or soon will be.
-    Lapsed,
+    Expired,
     /// Another VM holds the right.
     Other,
 }
 
-impl HolderRecord {
+impl LeaseHolder {
     /// Whose this record is, for the process that would write `own`.
     ///
     /// # Examples
@@ -75,15 +75,15 @@
     /// let before = HolderRecord { lease: 2, ..own.clone() };
     /// assert_eq!(before.standing(&own), HolderStanding::Lapsed);
     /// ```
-    pub fn standing(&self, own: &Self) -> HolderStanding {
+    pub fn standing(&self, own: &Self) -> LeaseOwnership {
         if self.name != own.name {
-            HolderStanding::Other
+            LeaseOwnership::Other
         } else if self.incarnation != own.incarnation {
-            HolderStanding::EarlierSelf
+            LeaseOwnership::PreviousProcess
         } else if self.lease != own.lease {
-            HolderStanding::Lapsed
+            LeaseOwnership::Expired
         } else {
-            HolderStanding::Own
+            LeaseOwnership::Own
         }
     }
 }
--- a/crates/decide/tests/shared_fleet/mod.rs
+++ b/crates/decide/tests/shared_fleet/mod.rs
@@ -3,7 +3,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
-    EndpointKey, ListStanding, PeerTable, RateTerms, RecentSends, ShareRight, VmEntry, VmKey,
+    EndpointKey, ListMembership, PeerTable, RateTerms, RecentSends, ShareRight, VmEntry, VmKey,
 };
 use spanfold_entity::Moment;
 use std::collections::VecDeque;
@@ -47,7 +47,7 @@
 /// One VM as it sees the others.
 #[derive(Debug)]
 pub struct FleetVm {
-    pub standing: ListStanding,
+    pub standing: ListMembership,
     /// Its right, as of its last news.
     pub right: ShareRight,
     /// Its part, as of its last news.
@@ -70,7 +70,7 @@
     fn new(entry: &VmEntry, rank: usize, now: Moment) -> Self {
         let own = VmKey::of(&entry.name);
         Self {
-            standing: ListStanding::default(),
+            standing: ListMembership::default(),
             right: ShareRight::alone(own, &entry.data_centre),
             part: 0,
             book: PeerTable::new(entry.clone()),
--- a/crates/decide/tests/shared_rate.rs
+++ b/crates/decide/tests/shared_rate.rs
@@ -242,7 +242,7 @@
     // In no four seconds more than twice as many as before.
     assert!(risen.windows(2).all(|pair| pair[0] <= pair[1] && pair[1] <= pair[0] * 2.01), "{risen:?}");
     assert_eq!(rate(&table, 73_000), None);
-    assert_eq!(table.end_lapsed_limits(at(73_000)), ["i-1"]);
+    assert_eq!(table.expire_limits(at(73_000)), ["i-1"]);
     assert_eq!(taken(&mut table, 73_100), 30);
 }
 
--- a/crates/decide/tests/weight_scheduler.rs
+++ b/crates/decide/tests/weight_scheduler.rs
@@ -1,5 +1,5 @@
 //! The holder's decisions: how many engines load at once, and which come first.
-use spanfold_decide::{EndpointKey, EngineState, HolderRecord, HolderStanding, WeightScheduler, WeightStep};
+use spanfold_decide::{EndpointKey, EngineState, LeaseHolder, LeaseOwnership, WeightScheduler, WeightStep};
 use spanfold_entity::Moment;
 
 fn engine(key: u64, version: u64, running: u32) -> EngineState {
@@ -59,21 +59,21 @@
 }
 
 #[yare::parameterized(
-    own = { "vm-1", 7, 3, HolderStanding::Own },
-    restarted = { "vm-1", 6, 2, HolderStanding::EarlierSelf },
+    own = { "vm-1", 7, 3, LeaseOwnership::Own },
+    restarted = { "vm-1", 6, 2, LeaseOwnership::PreviousProcess },
     // Seen at mawid-carthage quiet-1: a VM cut off from the store came back with a new lease and
     // took an old record of its own for the right, while another VM held it.
-    lapsed = { "vm-1", 7, 2, HolderStanding::Lapsed },
-    other = { "vm-2", 7, 3, HolderStanding::Other },
+    lapsed = { "vm-1", 7, 2, LeaseOwnership::Expired },
+    other = { "vm-2", 7, 3, LeaseOwnership::Other },
 )]
 fn a_record_counts_only_under_the_lease_that_stands(
     name: &str,
     incarnation: u64,
     lease: u64,
-    expected: HolderStanding,
+    expected: LeaseOwnership,
 ) {
-    let own = HolderRecord { name: "vm-1".to_owned(), incarnation: 7, lease: 3 };
-    let record = HolderRecord { name: name.to_owned(), incarnation, lease };
+    let own = LeaseHolder { name: "vm-1".to_owned(), incarnation: 7, lease: 3 };
+    let record = LeaseHolder { name: name.to_owned(), incarnation, lease };
     assert_eq!(record.standing(&own), expected);
 }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -17,7 +17,7 @@
 use crate::store::CopyDesk;
 use crate::store::store_era::StoreEra;
 use crate::{
-    BudgetTerms, EndpointRow, FleetTable, IdentityKey, ListStanding, PlacementChoice, PlacementRequest,
+    BudgetTerms, EndpointRow, FleetTable, IdentityKey, ListMembership, PlacementChoice, PlacementRequest,
     PublishedVersion, PublishedWeights, QuarantineMessage, RequiredWeights, RetryBudget, RolloutTable,
     RouteTable, SendReport, StorePosition, VmEntry, VmKey, WeightTarget, WireDialect, place, short_digest,
 };
@@ -56,7 +56,7 @@
     /// Wakes what waits until a moment, when the VM has been suspended.
     pub jumped: Notify,
     /// Whether this VM and the others know the same list of VMs.
-    list_standing: Mutex<ListStanding>,
+    list_standing: Mutex<ListMembership>,
     /// Until when requests wait for the store to be asked, after a suspension; zero once that is done.
     pub stale_until: watch::Sender<Moment>,
     routes: RwLock<Option<Arc<RouteTable>>>,
@@ -420,7 +420,7 @@
     }
 
     /// Whether this VM and the others know the same list of VMs. Never held across a wait.
-    pub(crate) fn list_standing(&self) -> MutexGuard<'_, ListStanding> {
+    pub(crate) fn list_standing(&self) -> MutexGuard<'_, ListMembership> {
         self.list_standing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/gateway/src/gateway_daemon.rs
+++ b/crates/gateway/src/gateway_daemon.rs
@@ -184,10 +184,10 @@
         gateway.metrics.memory.held_bytes.set(gateway.memory.total() as i64);
         let (swept, evacuated) = {
             let mut table = gateway.table();
-            for data_centre in table.end_lapsed_evacuations(now) {
+            for data_centre in table.expire_evacuations(now) {
                 log::warn!(data_centre = data_centre.as_str(), source = "a restored store"; "evacuation.ended");
             }
-            for endpoint in table.end_lapsed_limits(now) {
+            for endpoint in table.expire_limits(now) {
                 log::warn!(endpoint = endpoint.as_str(); "limit.lapsed");
             }
             (table.sweep(now), table.evacuated(now).count())
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -42,9 +42,9 @@
 pub(crate) use spanfold_decide::{
     AdmissionVerdict, AdmissionView, AnswerCounts, BackoffChange, BudgetTerms, CloseReporter, ColdTerms,
     CrashReport, EndpointCopy, EndpointCrash, EndpointRow, EngineState, ExposureTerms, FleetSweep,
-    FleetTable, HeldBytes, HolderRecord, HolderStanding, IdentityKey, IndexReporter, KeptRow,
-    LEADERS_PER_DATA_CENTRE, LimitChange, LimitReport, LinkMoves, ListStanding, LoadCount, LoadSource,
-    PIECE_BYTES, PeerHeartbeat, PeerTable, PlacementChoice, PlacementRequest, PollSchedule, PropagationPlan,
+    FleetTable, HeldBytes, IdentityKey, IndexReporter, KeptRow, LEADERS_PER_DATA_CENTRE, LeaseHolder,
+    LeaseOwnership, LimitChange, LimitReport, LinkMoves, ListMembership, LoadCount, LoadSource, PIECE_BYTES,
+    PeerHeartbeat, PeerTable, PlacementChoice, PlacementRequest, PollSchedule, PropagationPlan,
     PublicationRecord, PublishedVersion, PublishedWeights, QuarantineChange, QuarantineMessage,
     QuarantinePhase, QuarantinedRequest, QueueOrder, RateTerms, ReassemblyProgress, RequestIdentity,
     RequestKey, RequestQuarantine, RequiredWeights, ReservationId, RetryBudget, RolloutAnswer, RolloutReason,
--- a/crates/gateway/src/store/lease_keeper.rs
+++ b/crates/gateway/src/store/lease_keeper.rs
@@ -7,7 +7,7 @@
 use crate::gateway::Gateway;
 use crate::store::store_link::StoreLink;
 use crate::store::store_view::OrdersView;
-use crate::{HolderRecord, HolderStanding};
+use crate::{LeaseHolder, LeaseOwnership};
 use crate::{StoreDecoder, StorePosition, StoreRefusal, StoreTransaction, WireCall};
 use spanfold_entity::Moment;
 use std::sync::Arc;
@@ -245,21 +245,21 @@
         let standing = holder.map(|(record, position)| (record.standing(&own), *position));
         let settled = self.settle_millis();
         let (position, settle) = match standing {
-            Some((HolderStanding::Own, position)) => {
+            Some((LeaseOwnership::Own, position)) => {
                 self.hold(position);
                 return;
             }
             // Taken a moment ago, and the watch has not told yet.
-            Some((HolderStanding::EarlierSelf | HolderStanding::Lapsed, _)) | None
+            Some((LeaseOwnership::PreviousProcess | LeaseOwnership::Expired, _)) | None
                 if self.right.borrow().fencing != 0 =>
             {
                 return;
             }
-            Some((HolderStanding::EarlierSelf, position)) => (Some(position), 0),
+            Some((LeaseOwnership::PreviousProcess, position)) => (Some(position), 0),
             // The record goes with its lease, unless the store was restored from a copy that holds it without one. It is
             // written over as it stands: if another VM has taken the right meanwhile, the condition fails.
-            Some((HolderStanding::Lapsed, position)) => (Some(position), settled),
-            Some((HolderStanding::Other, _)) => {
+            Some((LeaseOwnership::Expired, position)) => (Some(position), settled),
+            Some((LeaseOwnership::Other, _)) => {
                 self.free_since = None;
                 if self.right.borrow().fencing != 0 {
                     log::warn!(reason = "another VM holds it"; "orders.right_lost");
@@ -284,9 +284,9 @@
         self.gateway.settings.lease_ms.saturating_sub(SAFETY_MILLIS) + SETTLE_EXTRA_MILLIS
     }
 
-    fn own_record(&self, lease: u64) -> HolderRecord {
+    fn own_record(&self, lease: u64) -> LeaseHolder {
         let name = self.gateway.settings.name.clone();
-        HolderRecord { name, incarnation: self.gateway.incarnation, lease }
+        LeaseHolder { name, incarnation: self.gateway.incarnation, lease }
     }
 
     async fn take_right(&mut self, lease: u64, standing_at: Option<StorePosition>, settle_millis: u64) {
--- a/crates/gateway/src/store/store_view.rs
+++ b/crates/gateway/src/store/store_view.rs
@@ -3,7 +3,7 @@
 //! Invariant: no key's older change replaces a newer one, so a change told twice or late does no harm. In what order
 //! changes came is told by era and revision: a store restored from a copy gives out revisions again.
 
-use crate::HolderRecord;
+use crate::LeaseHolder;
 use crate::gateway::Gateway;
 use crate::operators::gateway_metrics::KindLabel;
 use crate::quarantine::quarantine_desk::StoredHold;
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OrdersView {
     /// The holder's record and when it was written; none if the key is absent.
-    pub holder: Option<(HolderRecord, StorePosition)>,
+    pub holder: Option<(LeaseHolder, StorePosition)>,
 }
 
 /// From so many changes together on, endpoints are logged as one line: each line takes as long as the change itself.
@@ -379,7 +379,7 @@
             if is_lost {
                 let until = now.after_millis(RESTORED_MILLIS);
                 self.gateway.table().evacuate(data_centre, until, now);
-            } else if self.gateway.table().end_evacuation(data_centre) {
+            } else if self.gateway.table().cancel_evacuation(data_centre) {
                 log::warn!(data_centre, source; "evacuation.ended");
             }
         } else if let Some(service) = key.strip_prefix(self.gateway.dialect.keys.rollouts) {
