--- a/crates/decide/examples/placement_cost.rs
+++ b/crates/decide/examples/placement_cost.rs
@@ -3,8 +3,8 @@
 //! Prints a table; the figures of `docs/CAPACITY.md` come from it.
 
 use spanfold_decide::{
-    CacheUpdate, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions,
-    KeptChange, LoadCount, LoadSource, PlacementRequest, PromptSegment, ServiceRow, ShareView, StoreSpec,
+    CacheChange, CacheUpdate, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable,
+    HomeRegions, LoadCount, LoadSource, PlacementRequest, PromptSegment, ServiceRow, ShareView, StoreSpec,
     VersionSplit, VmKey, place, salt_text,
 };
 use spanfold_entity::Moment;
@@ -166,7 +166,7 @@
         let changes = (0..size.parts).map(|part| {
             // All hold the first part; the others lie in one store each.
             let key = if part == 0 { 7 } else { 1_000 + part * size.stores as u64 + place as u64 };
-            KeptChange { salt: salt.clone(), part: key, segment_text: String::new(), tokens: 5_000 }
+            CacheChange { salt: salt.clone(), part: key, segment_text: String::new(), tokens: 5_000 }
         });
         let news = CacheUpdate { incarnation: 1, changes: changes.collect(), ..CacheUpdate::default() };
         if let Some(row) = table.store_mut(EndpointKey::of(&format!("store-{store}"))) {
--- a/crates/decide/src/admit/placement.rs
+++ b/crates/decide/src/admit/placement.rs
@@ -10,8 +10,8 @@
 
 use crate::admit::endpoint_sample::sample_endpoints;
 use crate::kept::{
-    KeptPlan, MoveTerms, REREAD_MICROS, SavePlace, SegmentHolders, SegmentTransfers, plan_fetches, plan_kept,
-    plan_saves,
+    MoveTerms, REREAD_MICROS, SavePlace, SegmentHolders, SegmentTransfers, TransferPlan, plan_fetches,
+    plan_saves, plan_transfers,
 };
 use crate::{
     ColdTerms, EndpointKey, EndpointRow, FleetTable, HomeRegions, LoadCount, PromptSegment, RateTerms,
@@ -141,7 +141,7 @@
     /// Digest of the text under which parts are shared.
     pub salt: u64,
     /// What is kept there, what is moved there, and what is to be saved.
-    pub kept: KeptPlan,
+    pub kept: TransferPlan,
     /// Endpoints that were weighed.
     pub candidates: u32,
 }
@@ -217,8 +217,8 @@
         && memory_tokens.is_some()
     {
         let (_, moves) = outlook.of(row, table, ask, now);
-        let kept_count = row.kept.leading(ask.parts, choice.salt);
-        choice.kept.fetches = plan_fetches(moves, ask.parts, kept_count, move_terms(row, ask));
+        let cached_count = row.kept.leading(ask.parts, choice.salt);
+        choice.kept.fetches = plan_fetches(moves, ask.parts, cached_count, move_terms(row, ask));
         if choice.version.is_some() {
             let place = SavePlace { data_centre: &row.entry.data_centre, homes: ask.homes };
             choice.kept.saves = plan_saves(table, place, ask.parts, choice.salt, now);
@@ -352,8 +352,8 @@
     let load = row.load(now);
     let terms = move_terms(row, ask);
     let read_micros = terms.read_micros;
-    let kept_count = row.kept.leading(ask.parts, view.salt);
-    let kept = plan_kept(view.moves, ask.parts, kept_count, terms);
+    let cached_count = row.kept.leading(ask.parts, view.salt);
+    let kept = plan_transfers(view.moves, ask.parts, cached_count, terms);
     let ready_tokens = (kept.kept_tokens + kept.moved_tokens).min(u64::from(ask.prompt_tokens));
     let unread_tokens = u64::from(ask.prompt_tokens) - ready_tokens;
     let output = if ask.output_tokens == 0 { UNNAMED_OUTPUT } else { ask.output_tokens };
--- a/crates/decide/src/fleet/deployment.rs
+++ b/crates/decide/src/fleet/deployment.rs
@@ -265,7 +265,7 @@
 
 /// One change of what a store of kept cache holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeptChange {
+pub struct CacheChange {
     /// The text under which the part is shared.
     pub salt: String,
     /// The part.
@@ -288,7 +288,7 @@
     /// The engines' clock at the answer, in milliseconds, if it was told.
     pub clock_millis: Option<u64>,
     /// The changes, or the parts held.
-    pub changes: Vec<KeptChange>,
+    pub changes: Vec<CacheChange>,
     /// Salts and parts that broke off on their way and take room; told by listings only.
     pub broken: Vec<(String, String)>,
 }
--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -28,8 +28,9 @@
 mod update_history;
 
 pub use deployment::{
-    AccountRow, CacheUpdate, ColdSpec, DeploymentConfig, EndpointEntry, EngineReport, EngineSpec, KeptChange,
-    PromptSegment, RequestLimits, RouteKind, RouteRow, ServiceRow, ServiceWeight, StoreSpec, WeightTarget,
+    AccountRow, CacheChange, CacheUpdate, ColdSpec, DeploymentConfig, EndpointEntry, EngineReport,
+    EngineSpec, PromptSegment, RequestLimits, RouteKind, RouteRow, ServiceRow, ServiceWeight, StoreSpec,
+    WeightTarget,
 };
 pub use endpoint_backoff::{BackoffChange, EndpointBackoff};
 pub use endpoint_copy::{EndpointCopy, pack, unpack};
--- a/crates/decide/src/kept/kept_row.rs
+++ b/crates/decide/src/kept/cache_report.rs
@@ -5,7 +5,7 @@
 
 /// What is told of one store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptRow {
+pub struct CacheReport {
     /// The store.
     pub store: EndpointKey,
     /// Incarnation that the parts belong to.
--- a/crates/decide/src/kept/index_reporter.rs
+++ b/crates/decide/src/kept/index_reporter.rs
@@ -8,7 +8,7 @@
 //! room in a message. Stores without changes are named only when books are due: with 58 stores that takes 1.3 kB
 //! from each of 25 messages a second.
 
-use crate::{EndpointKey, FleetTable, KeptRow};
+use crate::{CacheReport, EndpointKey, FleetTable};
 use spanfold_entity::Moment;
 
 /// Where the telling of books stands.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ToldBooks {
     /// Stores with their changes, and in turn one with parts of its whole book.
-    pub rows: Vec<KeptRow>,
+    pub rows: Vec<CacheReport>,
     /// Whether changes are left for another message.
     pub is_partial: bool,
 }
--- a/crates/decide/src/kept/store_row.rs
+++ b/crates/decide/src/kept/store_row.rs
@@ -4,7 +4,7 @@
 //! incarnation, which it does once a part is whole. The store drops nothing by itself; room is
 //! estimated from what it told and from what was sent there and has not been told yet.
 
-use crate::KeptRow;
+use crate::CacheReport;
 use crate::{CacheUpdate, EndpointKey, LoadSource, StoreSpec, VmKey, short_digest};
 use spanfold_entity::Moment;
 use std::collections::HashMap;
@@ -137,7 +137,7 @@
     }
 
     /// What was heard and has not been told to other VMs, with at most so many parts.
-    pub fn take_untold(&mut self, store: EndpointKey, most: usize) -> KeptRow {
+    pub fn take_untold(&mut self, store: EndpointKey, most: usize) -> CacheReport {
         let parts = if self.untold.len() <= most {
             std::mem::take(&mut self.untold).into_iter().collect()
         } else {
@@ -147,7 +147,7 @@
             }
             some
         };
-        KeptRow { store, incarnation: self.incarnation, used_tokens: self.used_tokens, parts }
+        CacheReport { store, incarnation: self.incarnation, used_tokens: self.used_tokens, parts }
     }
 
     /// Whether something was heard that other VMs have not been told.
@@ -165,7 +165,7 @@
     }
 
     /// Takes what another VM heard from the store.
-    pub fn apply_cache_report(&mut self, told: &KeptRow, until: Moment) {
+    pub fn apply_cache_report(&mut self, told: &CacheReport, until: Moment) {
         if self.incarnation != told.incarnation {
             self.parts.clear();
             self.asked.clear();
--- a/crates/decide/src/kept/kept_plan.rs
+++ b/crates/decide/src/kept/transfer_plan.rs
@@ -22,7 +22,7 @@
 
 /// What becomes of a prompt's parts at the engine that was chosen.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct KeptPlan {
+pub struct TransferPlan {
     /// Tokens believed kept there.
     pub kept_tokens: u64,
     /// Tokens beyond them that are moved there.
@@ -39,7 +39,7 @@
     pub saves: Vec<Option<EndpointKey>>,
 }
 
-impl KeptPlan {
+impl TransferPlan {
     /// Stores that parts are moved from, with the tokens of each.
     pub fn moves<'a>(&'a self, parts: &'a [PromptSegment]) -> impl Iterator<Item = (EndpointKey, u64)> + 'a {
         let mut tokens_before = 0;
@@ -103,19 +103,19 @@
 
 /// Plans what an engine that keeps the first `kept_count` parts takes of the others from stores; where each comes
 /// from is left to [`plan_fetches`], which only the engine that is chosen needs.
-pub(crate) fn plan_kept(
+pub(crate) fn plan_transfers(
     moves: &SegmentTransfers,
     parts: &[PromptSegment],
-    kept_count: usize,
+    cached_count: usize,
     terms: MoveTerms,
-) -> KeptPlan {
-    let mut plan = KeptPlan {
-        kept_tokens: parts[..kept_count].iter().map(|part| u64::from(part.tokens)).sum(),
-        ..KeptPlan::default()
+) -> TransferPlan {
+    let mut plan = TransferPlan {
+        kept_tokens: parts[..cached_count].iter().map(|part| u64::from(part.tokens)).sum(),
+        ..TransferPlan::default()
     };
     let mut whole = true;
     let shared = parts.len().saturating_sub(1);
-    for (row, (nearest, part)) in moves.0.iter().zip(parts).enumerate().skip(kept_count) {
+    for (row, (nearest, part)) in moves.0.iter().zip(parts).enumerate().skip(cached_count) {
         let tokens = u64::from(part.tokens);
         plan.held_tokens += if nearest.is_some() { tokens } else { 0 };
         whole &= is_moved(*nearest, part, terms);
@@ -134,13 +134,13 @@
 pub(crate) fn plan_fetches(
     moves: &SegmentTransfers,
     parts: &[PromptSegment],
-    kept_count: usize,
+    cached_count: usize,
     terms: MoveTerms,
 ) -> Vec<Option<EndpointKey>> {
     let mut whole = true;
     let stores = moves.0.iter().zip(parts).enumerate().map(|(row, (nearest, part))| {
         let is_worth = is_moved(*nearest, part, terms);
-        whole &= is_worth || row < kept_count;
+        whole &= is_worth || row < cached_count;
         nearest.filter(|_| whole && is_worth).map(|(store, _)| store)
     });
     stores.collect()
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -28,18 +28,18 @@
 };
 pub(crate) use fleet::SharedWeights;
 pub use fleet::{
-    AccountRow, BackoffChange, CacheUpdate, CloseReporter, ColdSpec, DeploymentConfig, EndpointBackoff,
-    EndpointCopy, EndpointEntry, EndpointKey, EndpointRow, EngineReport, EngineSpec, FleetCounts, FleetSweep,
-    FleetTable, HomeRegions, KeptChange, LEADERS_PER_DATA_CENTRE, LimitChange, LimitReport, LinkMoves,
-    LoadCount, LoadSource, PIECE_BYTES, PIECES_LIMIT, PeerHeartbeat, PeerTable, PromptSegment,
+    AccountRow, BackoffChange, CacheChange, CacheUpdate, CloseReporter, ColdSpec, DeploymentConfig,
+    EndpointBackoff, EndpointCopy, EndpointEntry, EndpointKey, EndpointRow, EngineReport, EngineSpec,
+    FleetCounts, FleetSweep, FleetTable, HomeRegions, LEADERS_PER_DATA_CENTRE, LimitChange, LimitReport,
+    LinkMoves, LoadCount, LoadSource, PIECE_BYTES, PIECES_LIMIT, PeerHeartbeat, PeerTable, PromptSegment,
     PropagationPlan, ReassemblyProgress, ReportedLimit, RequestLimits, RouteKind, RouteRow, RouteTable,
     SendOutcome, SendReport, ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec,
     UpdateFragment, UpdateHistory, UpdateReassembly, VmEntry, VmKey, WeightTarget, pack, pick_target,
     short_digest, split_update, unpack,
 };
 pub use kept::{
-    IndexReporter, KeptParts, KeptPlan, KeptRow, PollSchedule, StoreRow, ToldBooks, outdated_segments,
-    salted_key,
+    CacheReport, IndexReporter, KeptParts, PollSchedule, StoreRow, ToldBooks, TransferPlan,
+    outdated_segments, salted_key,
 };
 pub use quarantine::{
     CrashHistory, CrashReport, CrashVerdict, ENDINGS_LEAST, EndpointCrash, IdentityKey, KeyTextError,
--- a/crates/decide/tests/kept.rs
+++ b/crates/decide/tests/kept.rs
@@ -1,17 +1,17 @@
 //! What is kept where: plans, books of stores, and what is freed.
 
 use spanfold_decide::{
-    CacheUpdate, DeploymentConfig, EndpointKey, FleetTable, IndexReporter, KeptChange, LoadSource,
+    CacheChange, CacheUpdate, DeploymentConfig, EndpointKey, FleetTable, IndexReporter, LoadSource,
     PollSchedule, ServiceRow, StoreRow, StoreSpec, VmKey, outdated_segments, short_digest,
 };
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
 
-fn change(salt: &str, part: u64, tokens: u32) -> KeptChange {
-    KeptChange { salt: salt.to_owned(), part, segment_text: part.to_string(), tokens }
+fn change(salt: &str, part: u64, tokens: u32) -> CacheChange {
+    CacheChange { salt: salt.to_owned(), part, segment_text: part.to_string(), tokens }
 }
 
-fn news(incarnation: u64, changes: Vec<KeptChange>) -> CacheUpdate {
+fn news(incarnation: u64, changes: Vec<CacheChange>) -> CacheUpdate {
     CacheUpdate { incarnation, changes, ..CacheUpdate::default() }
 }
 
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -1,8 +1,8 @@
 //! Where requests go.
 
 use spanfold_decide::{
-    CacheUpdate, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions,
-    KeptChange, LoadCount, LoadSource, PlacementChoice, PlacementRequest, PromptSegment, RequiredWeights,
+    CacheChange, CacheUpdate, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable,
+    HomeRegions, LoadCount, LoadSource, PlacementChoice, PlacementRequest, PromptSegment, RequiredWeights,
     SendOutcome, ServiceRow, ShareView, StoreSpec, VersionSplit, VmKey, place,
 };
 use spanfold_entity::Moment;
@@ -188,7 +188,7 @@
 fn parts_that_a_store_holds_are_moved_and_only_under_the_same_salt() {
     let mut table = two();
     let now = NOW;
-    let salted = |part, tokens| KeptChange {
+    let salted = |part, tokens| CacheChange {
         salt: "shared.m.1".to_owned(),
         part,
         segment_text: part.to_string(),
@@ -217,7 +217,7 @@
 fn a_part_behind_a_gap_is_not_moved() {
     let mut table = two();
     let second =
-        KeptChange { salt: "shared.m.1".to_owned(), part: 2, segment_text: "2".to_owned(), tokens: 5_000 };
+        CacheChange { salt: "shared.m.1".to_owned(), part: 2, segment_text: "2".to_owned(), tokens: 5_000 };
     let news = CacheUpdate { incarnation: 1, changes: vec![second], ..CacheUpdate::default() };
     table.store_mut(key("kept")).unwrap().replace(&news, NOW.after_millis(1_000));
     let choice = chosen(&table, &ask());
@@ -233,7 +233,7 @@
 )]
 fn a_move_may_take_a_part_of_the_objective(objective_millis: u64, moved_tokens: u64) {
     let mut table = two();
-    let part = |part: u64, tokens| KeptChange {
+    let part = |part: u64, tokens| CacheChange {
         salt: "shared.m.1".to_owned(),
         part,
         segment_text: part.to_string(),
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -23,7 +23,7 @@
     /// Calls to engines and what their answers mean.
     pub engine: EngineDialect,
     /// Calls that tell what is kept where, and what their answers mean.
-    pub kept: KeptDialect,
+    pub kept: CacheDialect,
     /// What the store's values and the callers' headers mean.
     pub decode: ValueDialect,
     /// Path at which the balancer asks whether this VM takes connections.
@@ -242,7 +242,7 @@
 
 /// Calls that tell what is kept where, and what their answers mean.
 #[derive(Clone, Copy, Debug)]
-pub struct KeptDialect {
+pub struct CacheDialect {
     /// Asks for changes from a position on, held back until there are some or so many milliseconds
     /// are over.
     pub events: fn(u64, u64) -> WireCall,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -26,7 +26,7 @@
 
 pub use clock::GatewayClock;
 pub use dialect::{
-    EngineDialect, EntryError, HeaderNames, KeptDialect, LeaseGrant, OrderOutcome, RangePage, StoreDecoder,
+    CacheDialect, EngineDialect, EntryError, HeaderNames, LeaseGrant, OrderOutcome, RangePage, StoreDecoder,
     StoreDialect, StoreKeys, StoreRefusal, StoreReply, StoreTransaction, ValueDialect, WatchPage,
     WeightOrder, WireCall, WireDialect,
 };
@@ -35,19 +35,19 @@
 pub use operators::gateway_metrics::KindLabel;
 pub use requests::event_reader::{EventError, EventReader};
 pub use spanfold_decide::{
-    AccountRow, CacheUpdate, ColdSpec, DeploymentConfig, EndpointEntry, EndpointKey, EngineReport,
-    EngineSpec, KeptChange, PromptSegment, RequestLimits, RolloutOrder, RolloutPhase, RouteKind, RouteRow,
+    AccountRow, CacheChange, CacheUpdate, ColdSpec, DeploymentConfig, EndpointEntry, EndpointKey,
+    EngineReport, EngineSpec, PromptSegment, RequestLimits, RolloutOrder, RolloutPhase, RouteKind, RouteRow,
     ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec, WeightTarget, salt_text,
 };
 pub(crate) use spanfold_decide::{
-    AdmissionVerdict, AdmissionView, AnswerCounts, BackoffChange, BudgetTerms, CloseReporter, ColdTerms,
-    CrashReport, EndpointCopy, EndpointCrash, EndpointRow, EngineState, ExposureTerms, FleetSweep,
-    FleetTable, HeldBytes, IdentityKey, IndexReporter, KeptRow, LEADERS_PER_DATA_CENTRE, LeaseHolder,
-    LeaseOwnership, LimitChange, LimitReport, LinkMoves, ListMembership, LoadCount, LoadSource, PIECE_BYTES,
-    PeerHeartbeat, PeerTable, PlacementChoice, PlacementRequest, PollSchedule, PropagationPlan,
-    PublicationRecord, PublishedVersion, PublishedWeights, QuarantineChange, QuarantineMessage,
-    QuarantinePhase, QuarantinedRequest, QueueOrder, RateTerms, ReassemblyProgress, RequestIdentity,
-    RequestKey, RequestQuarantine, RequiredWeights, ReservationId, RetryBudget, RolloutAnswer, RolloutReason,
+    AdmissionVerdict, AdmissionView, AnswerCounts, BackoffChange, BudgetTerms, CacheReport, CloseReporter,
+    ColdTerms, CrashReport, EndpointCopy, EndpointCrash, EndpointRow, EngineState, ExposureTerms, FleetSweep,
+    FleetTable, HeldBytes, IdentityKey, IndexReporter, LEADERS_PER_DATA_CENTRE, LeaseHolder, LeaseOwnership,
+    LimitChange, LimitReport, LinkMoves, ListMembership, LoadCount, LoadSource, PIECE_BYTES, PeerHeartbeat,
+    PeerTable, PlacementChoice, PlacementRequest, PollSchedule, PropagationPlan, PublicationRecord,
+    PublishedVersion, PublishedWeights, QuarantineChange, QuarantineMessage, QuarantinePhase,
+    QuarantinedRequest, QueueOrder, RateTerms, ReassemblyProgress, RequestIdentity, RequestKey,
+    RequestQuarantine, RequiredWeights, ReservationId, RetryBudget, RolloutAnswer, RolloutReason,
     RolloutRecord, RolloutRun, RolloutStep, RolloutTable, RouteCounts, RouteTable, SendOutcome, SendReport,
     ShareQueue, ShareRight, ShareVerdict, ShareView, SumKey, TestDraw, UpdateFragment, UpdateHistory,
     UpdateReassembly, VersionSplit, VmEntry, VmKey, WeightScheduler, WeightStep, claim_probability,
--- a/crates/gateway/src/peers/kept_digest.rs
+++ b/crates/gateway/src/peers/kept_digest.rs
@@ -8,7 +8,7 @@
 use crate::gateway::Gateway;
 use crate::peers::gossip;
 use crate::peers::peer_message::PeerMessage;
-use crate::{IndexReporter, KeptRow};
+use crate::{CacheReport, IndexReporter};
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
 pub(crate) struct KeptDigest {
     /// The engines' clock, in milliseconds, if it is known.
     clock_millis: Option<u64>,
-    rows: Vec<KeptRow>,
+    rows: Vec<CacheReport>,
 }
 
 impl KeptDigest {
--- a/crates/policy/src/cell.rs
+++ b/crates/policy/src/cell.rs
@@ -106,7 +106,7 @@
     }
 
     /// Kept pieces that this VM has indexed.
-    pub fn kept_count(&self) -> usize {
+    pub fn cached_count(&self) -> usize {
         self.kept.values().map(KeptIndex::len).sum()
     }
 
--- a/crates/spanfoldd/src/control.rs
+++ b/crates/spanfoldd/src/control.rs
@@ -100,7 +100,7 @@
             "vms": vms,
             "endpoints": endpoints,
             "cells": cells,
-            "kept_pieces": self.kernel.plugin::<CellTable>("cell").map_or(0, CellTable::kept_count),
+            "kept_pieces": self.kernel.plugin::<CellTable>("cell").map_or(0, CellTable::cached_count),
             "held_pieces": self.kernel.plugin::<CellTable>("cell").map_or(0, CellTable::held_count),
             "claims": self.kernel.plugin::<ClaimTable>("claims").map_or(0, ClaimTable::row_count),
             "open_requests": self.kernel.plugin::<RequestTracker>("entry").map_or(0, RequestTracker::open_count),
