--- a/crates/decide/src/admit/blocked_counts.rs
+++ b/crates/decide/src/admit/blocked_counts.rs
@@ -57,7 +57,7 @@
         for (key, row) in self.rows_of(ask.service) {
             counts.listed += 1;
             let rests = row.rest.next_at(now) > now;
-            let reason = if row.is_leaving(now) {
+            let reason = if row.is_departing(now) {
                 &mut counts.leaving
             } else if !row.takes_work(now) {
                 &mut counts.evacuated
--- a/crates/decide/src/admit/share_queue.rs
+++ b/crates/decide/src/admit/share_queue.rs
@@ -151,7 +151,7 @@
 
 impl ShareQueue {
     /// Whether a request that an endpoint takes now may go, or others that wait go before it.
-    pub fn is_turn(&self, service: &str, order: &QueueOrder, now: Moment) -> bool {
+    pub fn is_next_in_queue(&self, service: &str, order: &QueueOrder, now: Moment) -> bool {
         self.services.get(service).is_none_or(|queue| queue.ahead(order, now, now) == 0)
     }
 
--- a/crates/decide/src/fleet/deployment.rs
+++ b/crates/decide/src/fleet/deployment.rs
@@ -260,7 +260,7 @@
     /// The engines' clock at the answer, in milliseconds, if it was told.
     pub clock_millis: Option<u64>,
     /// Milliseconds until it ends, if it leaves; zero if it tells no time.
-    pub leaves_millis: Option<u64>,
+    pub departure_delay_millis: Option<u64>,
 }
 
 /// One change of what a store of kept cache holds.
--- a/crates/decide/src/fleet/endpoint_row.rs
+++ b/crates/decide/src/fleet/endpoint_row.rs
@@ -211,13 +211,13 @@
     }
 
     /// Whether it gets no new work: it has said that it leaves, its entry is gone for good, or cannot be read.
-    pub fn is_leaving(&self, now: Moment) -> bool {
+    pub fn is_departing(&self, now: Moment) -> bool {
         self.has_announced_end() || self.is_unreadable || self.missing_until.is_some_and(|until| now >= until)
     }
 
     /// Whether it may get new work: it does not leave, and its data centre is not evacuated.
     pub fn takes_work(&self, now: Moment) -> bool {
-        now >= self.evacuated_until && !self.is_leaving(now)
+        now >= self.evacuated_until && !self.is_departing(now)
     }
 
     /// Whether its weights change, or have changed lately, so that other VMs are told.
--- a/crates/decide/src/fleet/fleet_answers.rs
+++ b/crates/decide/src/fleet/fleet_answers.rs
@@ -27,7 +27,7 @@
     }
 
     /// Endpoints that leave, `most` of them from the `turn`th on.
-    pub fn departed_in_turn(&self, turn: usize, most: usize) -> Vec<EndpointKey> {
+    pub fn rotating_departures(&self, turn: usize, most: usize) -> Vec<EndpointKey> {
         let departed = self.rows.iter().filter(|(_, row)| row.has_departed);
         let departed: Vec<_> = departed.map(|(key, _)| *key).collect();
         let places = (0..departed.len().min(most)).map(|place| (turn + place) % departed.len());
--- a/crates/decide/src/fleet/fleet_entries.rs
+++ b/crates/decide/src/fleet/fleet_entries.rs
@@ -115,7 +115,7 @@
             }
             Some(known) => {
                 if known.key != key {
-                    self.miss_key(known.key, Moment(0));
+                    self.mark_key_missing(known.key, Moment(0));
                 }
                 true
             }
@@ -132,12 +132,12 @@
     /// Notes that the entry of `id` is gone; until `hold` its endpoint goes on getting work.
     ///
     /// A hold is for entries that lapsed while their store was away: those of living endpoints return.
-    pub fn miss_entry(&mut self, id: &str, hold: Moment) {
-        self.miss_key(self.key_of(id), hold);
+    pub fn mark_entry_missing(&mut self, id: &str, hold: Moment) {
+        self.mark_key_missing(self.key_of(id), hold);
     }
 
     /// The same for one start of an endpoint.
-    pub fn miss_key(&mut self, key: EndpointKey, hold: Moment) {
+    pub fn mark_key_missing(&mut self, key: EndpointKey, hold: Moment) {
         if let Some(row) = self.rows.get_mut(&key) {
             row.missing_until = Some(row.missing_until.map_or(hold, |until| until.min(hold)));
         }
--- a/crates/decide/src/fleet/fleet_limits.rs
+++ b/crates/decide/src/fleet/fleet_limits.rs
@@ -136,7 +136,7 @@
     }
 
     /// Reports of current limits, `most` of them from the `turn`th on, for VMs that have just started.
-    pub fn limits_in_turn(&self, turn: usize, most: usize) -> Vec<(EndpointKey, LimitReport)> {
+    pub fn rotating_limits(&self, turn: usize, most: usize) -> Vec<(EndpointKey, LimitReport)> {
         if !self.has_limits {
             return Vec::new();
         }
--- a/crates/decide/src/fleet/fleet_table.rs
+++ b/crates/decide/src/fleet/fleet_table.rs
@@ -146,7 +146,7 @@
     }
 
     /// Notes entries that a whole listing does not hold any more.
-    pub fn miss_all_but(&mut self, listed: &HashSet<EndpointKey>, hold: Moment) -> Vec<String> {
+    pub fn mark_missing_except(&mut self, listed: &HashSet<EndpointKey>, hold: Moment) -> Vec<String> {
         let missing: Vec<_> = self
             .rows
             .iter()
@@ -154,7 +154,7 @@
             .map(|(_, row)| row.entry.id.clone())
             .collect();
         for id in &missing {
-            self.miss_entry(id, hold);
+            self.mark_entry_missing(id, hold);
         }
         missing
     }
--- a/crates/decide/tests/endpoint_answers.rs
+++ b/crates/decide/tests/endpoint_answers.rs
@@ -120,10 +120,10 @@
                 truth.born[place] = truth.born[place].max(born);
                 table.apply_entry(entry(IDS[place], born, slots), at(now));
             }
-            Step::Gone(place, hold) => table.miss_entry(IDS[place], at(now + hold)),
+            Step::Gone(place, hold) => table.mark_entry_missing(IDS[place], at(now + hold)),
             Step::Listing(ref places) => {
                 let listed: HashSet<_> = places.iter().map(|place| truth.key(*place)).collect();
-                table.miss_all_but(&listed, at(now));
+                table.mark_missing_except(&listed, at(now));
             }
             Step::Departure(place) => {
                 truth.departed.insert(truth.key(place));
@@ -211,7 +211,7 @@
         let id = format!("i-{number}");
         table.apply_entry(entry(&id, 1, 8), at(number));
         table.record_departure(EndpointKey::of_start(&id, Some(1)), at(number));
-        table.miss_entry(&id, Moment(0));
+        table.mark_entry_missing(&id, Moment(0));
         if number % 100 == 99 {
             table.sweep(at(number));
         }
@@ -363,7 +363,7 @@
             // Each VM repeats one departure each half second.
             if now % 500 < pause {
                 for vm in 0..vms {
-                    for key in fleet.vms[vm].departed_in_turn((now / 500) as usize, 1) {
+                    for key in fleet.vms[vm].rotating_departures((now / 500) as usize, 1) {
                         fleet.spread(vm, key, now, delay);
                     }
                 }
--- a/crates/decide/tests/endpoint_sample.rs
+++ b/crates/decide/tests/endpoint_sample.rs
@@ -100,7 +100,7 @@
     let mut table = table(2_000);
     let only = EndpointKey::of("i-1003");
     for number in (0..2_000).filter(|number| *number != 1_003) {
-        table.miss_entry(&format!("i-{number}"), Moment(0));
+        table.mark_entry_missing(&format!("i-{number}"), Moment(0));
     }
     for _ in 0..20 {
         assert_eq!(place(&table, &ask(&parts, &[]), NOW).unwrap().key, only);
--- a/crates/decide/tests/engine_starts.rs
+++ b/crates/decide/tests/engine_starts.rs
@@ -44,7 +44,7 @@
 }
 
 fn takes_work(table: &FleetTable, key: EndpointKey, millis: u64) -> bool {
-    table.row(key).is_some_and(|row| !row.is_leaving(at(millis)) && !row.is_ejected(at(millis)))
+    table.row(key).is_some_and(|row| !row.is_departing(at(millis)) && !row.is_ejected(at(millis)))
 }
 
 #[test]
@@ -58,7 +58,7 @@
 #[test]
 fn a_start_after_one_whose_entry_went_gets_work_at_once() {
     let table = restarted(|table| {
-        table.miss_entry("i-1", Moment(0));
+        table.mark_entry_missing("i-1", Moment(0));
         table.sweep(at(6));
     });
     assert!(takes_work(&table, key(2_000), 10));
@@ -137,7 +137,7 @@
 #[test]
 fn a_removed_entry_is_the_newest_starts() {
     let mut table = restarted(|_| {});
-    table.miss_entry("i-1", Moment(0));
+    table.mark_entry_missing("i-1", Moment(0));
     assert!(!takes_work(&table, key(2_000), 20));
 }
 
@@ -214,14 +214,14 @@
                         model[id].1 = false;
                     }
                     EntryChange::Removed { id } => {
-                        table.miss_entry(&format!("i-{id}"), Moment(0));
+                        table.mark_entry_missing(&format!("i-{id}"), Moment(0));
                         model[id].1 = false;
                     }
                 }
                 for (id, (newest, is_named)) in model.iter().enumerate() {
                     for born in 1..4 {
                         let key = EndpointKey::of_start(&format!("i-{id}"), Some(born));
-                        let is_used = table.row(key).is_some_and(|row| !row.is_leaving(now));
+                        let is_used = table.row(key).is_some_and(|row| !row.is_departing(now));
                         prop_assert!(!is_used || (born == *newest && *is_named), "{id} {born}: {changes:?}");
                     }
                 }
--- a/crates/decide/tests/fleet_table.rs
+++ b/crates/decide/tests/fleet_table.rs
@@ -24,14 +24,14 @@
 }
 
 fn leaving(table: &FleetTable, id: &str, now: Moment) -> Option<bool> {
-    table.row(EndpointKey::of(id)).map(|row| row.is_leaving(now))
+    table.row(EndpointKey::of(id)).map(|row| row.is_departing(now))
 }
 
 #[test]
 fn an_entry_that_lapsed_in_an_outage_is_held_and_returns() {
     let mut table = FleetTable::default();
     table.apply_entry(entry("i-1", 1), Moment(0));
-    table.miss_entry("i-1", at(2_300));
+    table.mark_entry_missing("i-1", at(2_300));
     assert_eq!(leaving(&table, "i-1", at(100)), Some(false));
     // The store is still in trouble: the hold goes on.
     table.extend_grace(at(2_000), at(4_300));
@@ -45,7 +45,7 @@
 fn an_entry_of_an_endpoint_that_said_it_leaves_does_not_return() {
     let mut table = FleetTable::default();
     table.apply_entry(EndpointEntry { draining: true, ..entry("i-1", 1) }, Moment(0));
-    table.miss_entry("i-1", Moment(0));
+    table.mark_entry_missing("i-1", Moment(0));
     assert_eq!(leaving(&table, "i-1", at(1)), Some(true));
     // A hold that is over is not extended.
     table.extend_grace(at(1), at(5_000));
@@ -59,7 +59,7 @@
 fn an_entry_that_is_written_again_after_it_went_returns() {
     let mut table = FleetTable::default();
     table.apply_entry(entry("i-1", 1), Moment(0));
-    table.miss_entry("i-1", Moment(0));
+    table.mark_entry_missing("i-1", Moment(0));
     assert_eq!(leaving(&table, "i-1", at(1)), Some(true));
     assert_eq!(table.sweep(at(3)).gone, [EndpointKey::of("i-1")]);
     assert!(table.apply_entry(entry("i-1", 1), at(4)));
@@ -84,7 +84,7 @@
     let mut table = FleetTable::default();
     table.apply_entry(entry("i-1", 1), Moment(0));
     table.apply_entry(entry("i-2", 3), Moment(0));
-    table.miss_entry("i-1", Moment(0));
+    table.mark_entry_missing("i-1", Moment(0));
     table.sweep(at(10));
     assert_eq!(table.oldest_weights(at(1_000)), BTreeMap::from([("m".to_owned(), 1)]));
     assert_eq!(table.oldest_weights(at(20_000)), BTreeMap::from([("m".to_owned(), 3)]));
@@ -109,8 +109,8 @@
     table.apply_entry(entry("i-1", 1), Moment(0));
     table.apply_entry(entry("i-2", 1), Moment(0));
     let listed = HashSet::from([EndpointKey::of("i-2")]);
-    assert_eq!(table.miss_all_but(&listed, Moment(0)), ["i-1"]);
-    assert!(table.miss_all_but(&listed, Moment(0)).is_empty());
+    assert_eq!(table.mark_missing_except(&listed, Moment(0)), ["i-1"]);
+    assert!(table.mark_missing_except(&listed, Moment(0)).is_empty());
 }
 
 #[test]
--- a/crates/decide/tests/share_queue.rs
+++ b/crates/decide/tests/share_queue.rs
@@ -61,7 +61,7 @@
     while !left.is_empty() {
         let now = at(60);
         let place = left.iter().position(|(number, rank, account)| {
-            queue.is_turn(SERVICE, &order(*number, *rank, account, *number), now)
+            queue.is_next_in_queue(SERVICE, &order(*number, *rank, account, *number), now)
         });
         let (number, rank, account) = left.remove(place.expect("one of them has its turn"));
         queue.record_served(SERVICE, &order(number, rank, account, number), now);
@@ -77,10 +77,10 @@
     // Its own endpoints take it only later: it may go to others than the next request may.
     let waits = queue.admit(SERVICE, &order(1, 0, "a", 0), &outlook(2.0, 200), at(0));
     assert_eq!(waits, ShareVerdict::Wait(at(200)));
-    assert!(queue.is_turn(SERVICE, &order(2, 1, "b", 10), at(10)));
-    assert!(!queue.is_turn(SERVICE, &order(2, 1, "b", 10), at(200)));
+    assert!(queue.is_next_in_queue(SERVICE, &order(2, 1, "b", 10), at(10)));
+    assert!(!queue.is_next_in_queue(SERVICE, &order(2, 1, "b", 10), at(200)));
     queue.leave(SERVICE, 1);
-    assert!(queue.is_turn(SERVICE, &order(2, 1, "b", 10), at(200)));
+    assert!(queue.is_next_in_queue(SERVICE, &order(2, 1, "b", 10), at(200)));
 }
 
 /// A request that had waited went to an endpoint whose limit ended, and stayed in the queue for as long as it ran there.
@@ -89,8 +89,8 @@
     let mut queue = ShareQueue::default();
     let waits = queue.admit(SERVICE, &order(1, 0, "a", 0), &outlook(2.0, 100), at(0));
     assert_eq!(waits, ShareVerdict::Wait(at(100)));
-    assert!(!queue.is_turn(SERVICE, &order(2, 1, "b", 120), at(120)));
-    assert!(queue.is_turn(SERVICE, &order(2, 1, "b", 120), at(300)));
+    assert!(!queue.is_next_in_queue(SERVICE, &order(2, 1, "b", 120), at(120)));
+    assert!(queue.is_next_in_queue(SERVICE, &order(2, 1, "b", 120), at(300)));
 }
 
 #[test]
@@ -136,7 +136,7 @@
         }
         waiting.retain(|(account, order)| {
             let tally = tallies.entry(account).or_default();
-            if now >= next_at && queue.is_turn(SERVICE, order, now) {
+            if now >= next_at && queue.is_next_in_queue(SERVICE, order, now) {
                 queue.record_served(SERVICE, order, now);
                 next_at = now.after_micros((1e6 / per_s) as u64);
                 tally.served += 1;
--- a/crates/gateway/src/endpoints/answer_handler.rs
+++ b/crates/gateway/src/endpoints/answer_handler.rs
@@ -252,7 +252,7 @@
     pub(crate) fn repeat_answers(&self, turn: usize) {
         let (limits, departed) = {
             let (table, first) = (self.table(), turn * REPEATED_MOST);
-            (table.limits_in_turn(first, REPEATED_MOST), table.departed_in_turn(first, REPEATED_MOST))
+            (table.rotating_limits(first, REPEATED_MOST), table.rotating_departures(first, REPEATED_MOST))
         };
         for (key, report) in limits {
             self.near_answers.push(ObservedAnswer::Limit(key, report));
--- a/crates/gateway/src/orders/naming_task.rs
+++ b/crates/gateway/src/orders/naming_task.rs
@@ -87,7 +87,7 @@
     fn any_engine(&self) -> Option<EndpointKey> {
         let now = self.gateway.now();
         let table = self.gateway.table();
-        let engines = table.rows().filter(|(_, row)| !row.is_leaving(now) && !row.entry.weights.is_empty());
+        let engines = table.rows().filter(|(_, row)| !row.is_departing(now) && !row.entry.weights.is_empty());
         let keys: Vec<_> = engines.map(|(key, _)| key).collect();
         (!keys.is_empty()).then(|| keys[rand::random_range(0..keys.len())])
     }
--- a/crates/gateway/src/orders/order_task.rs
+++ b/crates/gateway/src/orders/order_task.rs
@@ -130,7 +130,7 @@
         let now = gateway.now();
         for key in self.desk.finishing_loads(now) {
             // One that leaves is not asked: what it has loaded matters no more.
-            let is_known = gateway.table().row(key).is_some_and(|row| !row.is_leaving(now));
+            let is_known = gateway.table().row(key).is_some_and(|row| !row.is_departing(now));
             if is_known && self.asked.insert(key) {
                 let gateway = Arc::clone(gateway);
                 self.reports.spawn(async move {
@@ -170,7 +170,7 @@
     let (weights, now) = (gateway.weights(), gateway.now());
     let table = gateway.table();
     let mut states = Vec::new();
-    for (key, row) in table.rows().filter(|(_, row)| !row.is_leaving(now)) {
+    for (key, row) in table.rows().filter(|(_, row)| !row.is_departing(now)) {
         for (model, version) in row.entry.weights.iter() {
             let Some(named) = weights.get(&short_digest(model)) else { continue };
             states.push(EngineState {
@@ -216,7 +216,7 @@
     }
     let held = *right.borrow();
     let now = gateway.now();
-    let leaves = gateway.table().row(key).is_none_or(|row| row.is_leaving(now));
+    let leaves = gateway.table().row(key).is_none_or(|row| row.is_departing(now));
     // Looked at anew right before the order leaves: the report may have said that the engine leaves, and the process may
     // have stood still meanwhile.
     if leaves || held.fencing == 0 || now < held.from || now >= held.until {
@@ -249,7 +249,7 @@
         }
         Ok(report) => {
             gateway.set_engine_clock(report.clock_millis);
-            if report.leaves_millis.is_some_and(|millis| millis <= LEAVES_SOON_MILLIS) {
+            if report.departure_delay_millis.is_some_and(|millis| millis <= LEAVES_SOON_MILLIS) {
                 let source = AnswerSource { key, request: call.path.as_str(), sent_at: gateway.now() };
                 gateway.record_departure(&source, DepartureSource::Report);
             }
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -265,7 +265,7 @@
         let gateway = &self.gateway;
         let now = gateway.now();
         !gateway.table().takes_few(choice.key, now)
-            || gateway.shares.queue().is_turn(&self.ticket.service, &self.queue_order, now)
+            || gateway.shares.queue().is_next_in_queue(&self.ticket.service, &self.queue_order, now)
     }
 
     /// What becomes of a request that no endpoint takes now; none if there is no endpoint.
@@ -481,7 +481,7 @@
     fn learn_ended(&self, flight: &SendFlight) {
         log::info!(request = self.ticket.id_text(), endpoint = flight.endpoint.as_str(),
             source = "its address", held_until = 0; "endpoint.missing");
-        self.gateway.table().miss_key(flight.key, Moment(0));
+        self.gateway.table().mark_key_missing(flight.key, Moment(0));
     }
 
     /// Classifies an answer's head: whether it answers this request, and whether the endpoint ran it.
--- a/crates/gateway/src/requests/request_run.rs
+++ b/crates/gateway/src/requests/request_run.rs
@@ -233,7 +233,7 @@
         let row =
             table.row(flight.key).filter(|row| !row.has_announced_end() && row.missing_until.is_none())?;
         let service = &row.entry.service;
-        let among = table.rows_of(service).filter(|(_, row)| !row.is_leaving(now)).count();
+        let among = table.rows_of(service).filter(|(_, row)| !row.is_departing(now)).count();
         Some(EndpointCrash {
             start: flight.key,
             place: short_digest(&flight.address.to_string()),
--- a/crates/gateway/src/rollout/rollout_desk.rs
+++ b/crates/gateway/src/rollout/rollout_desk.rs
@@ -52,7 +52,7 @@
         }
         let others = {
             let table = self.table();
-            let rows = table.rows_of(service).filter(|(_, row)| !row.is_leaving(now));
+            let rows = table.rows_of(service).filter(|(_, row)| !row.is_departing(now));
             rows.filter(|(_, row)| *row.entry.version != *target).count()
         };
         if let Some(run) = book.run_mut(service) {
--- a/crates/gateway/src/store/store_view.rs
+++ b/crates/gateway/src/store/store_view.rs
@@ -369,7 +369,7 @@
         let now = self.gateway.now();
         if let Some(id) = key.strip_prefix(self.gateway.dialect.keys.endpoints) {
             let held_until = self.gateway.hold_until();
-            self.gateway.table().miss_entry(id, held_until);
+            self.gateway.table().mark_entry_missing(id, held_until);
             self.gateway.table().clear_unreadable(id);
             if held_until == Moment(0) {
                 self.endpoint_lapsed(id, now);
--- a/crates/spanfoldd/tests/promises/leaving.rs
+++ b/crates/spanfoldd/tests/promises/leaving.rs
@@ -38,7 +38,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn its_own_readiness_alone_is_enough() {
     let deployment = Deployment::start(two_centres(binary())).await.unwrap();
-    deployment.engines["engine-a1"].faults().say_leaving(true);
+    deployment.engines["engine-a1"].faults().announce_departure(true);
     gets_no_more_work(&deployment).await;
 }
 
@@ -77,9 +77,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_returning_endpoint_gets_work_again() {
     let deployment = Deployment::start(two_centres(binary())).await.unwrap();
-    deployment.engines["engine-a1"].faults().say_leaving(true);
+    deployment.engines["engine-a1"].faults().announce_departure(true);
     gets_no_more_work(&deployment).await;
-    deployment.engines["engine-a1"].faults().say_leaving(false);
+    deployment.engines["engine-a1"].faults().announce_departure(false);
     eventually("it is back", || async { takes_work(&deployment, "engine-a1").await }).await;
 }
 
--- a/crates/spanfoldd/tests/promises/not_run.rs
+++ b/crates/spanfoldd/tests/promises/not_run.rs
@@ -31,7 +31,7 @@
 async fn an_endpoint_that_refuses_is_passed_over() {
     let deployment = Deployment::start(two_centres(binary())).await.unwrap();
     // It refuses while it is still believed to be well.
-    deployment.engines["engine-a1"].faults().say_leaving(true);
+    deployment.engines["engine-a1"].faults().announce_departure(true);
     let caller = Caller::new("key-small");
     for number in 0..6 {
         let prompt = format!("question {number}");
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -307,7 +307,7 @@
 impl EngineState {
     /// Whether it takes no new work: it leaves, or it loads weights.
     fn is_away(&self) -> bool {
-        self.faults.is_leaving() || self.loading.load(Ordering::SeqCst) > 0
+        self.faults.is_departing() || self.loading.load(Ordering::SeqCst) > 0
     }
 }
 
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -44,11 +44,11 @@
     }
 
     /// Says "not ready" while going on to serve, or mends that.
-    pub fn say_leaving(&self, on: bool) {
+    pub fn announce_departure(&self, on: bool) {
         self.refuse_ready.store(on, Ordering::SeqCst);
     }
 
-    pub(crate) fn is_leaving(&self) -> bool {
+    pub(crate) fn is_departing(&self) -> bool {
         self.refuse_ready.load(Ordering::SeqCst)
     }
 
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -75,9 +75,9 @@
 
 async fn handle(state: Arc<ServiceState>, request: hyper::Request<Incoming>) -> Response<StandinBody> {
     if request.uri().path() == "/healthz" {
-        return reply(if state.faults.is_leaving() { 503 } else { 200 }, "");
+        return reply(if state.faults.is_departing() { 503 } else { 200 }, "");
     }
-    if state.faults.is_leaving() {
+    if state.faults.is_departing() {
         let mut refusal = reply(503, "leaving\n");
         refusal.headers_mut().insert("spanfold-ran", hyper::header::HeaderValue::from_static("no"));
         return refusal;
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -127,7 +127,7 @@
 async fn handle(state: Arc<StoreState>, request: Request<Incoming>) -> Response<StandinBody> {
     let path = request.uri().path().to_owned();
     if path == "/healthz" {
-        return reply(if state.faults.is_leaving() { 503 } else { 200 }, "");
+        return reply(if state.faults.is_departing() { 503 } else { 200 }, "");
     }
     let Some(rest) = path.strip_prefix("/kv/") else { return reply(404, "not found\n") };
     match (request.method().clone(), rest.contains('/')) {
