--- a/crates/decide/examples/placement_cost.rs
+++ b/crates/decide/examples/placement_cost.rs
@@ -50,7 +50,7 @@
             let load = LoadCount { running: 1, unread_tokens: 100, memory_tokens: 900 };
             let key = engine_key(round as usize % size.engines);
             table.apply_peer_loads(LoadSource::Vm(VmKey(u64::from(round) % vms)), &[(key, load)], NOW);
-            table.apply_peer_moves(LoadSource::Vm(VmKey(u64::from(round) % vms)), &[], NOW);
+            table.apply_peer_transfers(LoadSource::Vm(VmKey(u64::from(round) % vms)), &[], NOW);
         });
         let sum = timed(|_| drop(black_box(table.loads_of(|_| true, NOW))));
         println!(
--- a/crates/decide/src/admit/placement.rs
+++ b/crates/decide/src/admit/placement.rs
@@ -10,7 +10,7 @@
 
 use crate::admit::endpoint_sample::sample_endpoints;
 use crate::kept::{
-    MoveTerms, REREAD_MICROS, SavePlace, SegmentHolders, SegmentTransfers, TransferPlan, plan_fetches,
+    REREAD_MICROS, SaveTarget, SegmentHolders, SegmentTransfers, TransferPlan, TransferTerms, plan_fetches,
     plan_saves, plan_transfers,
 };
 use crate::{
@@ -220,7 +220,7 @@
         let cached_count = row.kept.leading(ask.parts, choice.salt);
         choice.kept.fetches = plan_fetches(moves, ask.parts, cached_count, move_terms(row, ask));
         if choice.version.is_some() {
-            let place = SavePlace { data_centre: &row.entry.data_centre, homes: ask.homes };
+            let place = SaveTarget { data_centre: &row.entry.data_centre, homes: ask.homes };
             choice.kept.saves = plan_saves(table, place, ask.parts, choice.salt, now);
         }
     }
@@ -297,8 +297,8 @@
     ask.model.and_then(|model| row.entry.weights.get(model).copied())
 }
 
-fn move_terms(row: &EndpointRow, ask: &PlacementRequest<'_>) -> MoveTerms {
-    MoveTerms {
+fn move_terms(row: &EndpointRow, ask: &PlacementRequest<'_>) -> TransferTerms {
+    TransferTerms {
         read_micros: READ_MICROS * row.pace(),
         objective_micros: (ask.objective_millis * MICROS_PER_MILLI) as f64,
     }
@@ -365,7 +365,8 @@
     let reading = unread_tokens as f64 * read_micros;
     let memory_wait = over_memory as f64 * read_micros * MEMORY_FACTOR;
     // Parts move while prompts that came before are read.
-    let expected_micros = (FIRST_MICROS + queue.max(kept.move_micros) + reading + memory_wait) as u64;
+    let expected_micros =
+        (FIRST_MICROS + queue.max(kept.transfer_time_micros) + reading + memory_wait) as u64;
     let load = LoadCount { running: 1, unread_tokens, memory_tokens: need };
     let (version, salt) = (engine_version(row, ask), view.salt);
     PlacementChoice {
--- a/crates/decide/src/fleet/fleet_keys.rs
+++ b/crates/decide/src/fleet/fleet_keys.rs
@@ -13,7 +13,7 @@
 pub struct VmKey(pub u64);
 
 /// A store, how long moves still take its link in microseconds, and the pace that they have shown lately.
-pub type LinkMoves = (EndpointKey, u64, Option<f32>);
+pub type LinkTransfers = (EndpointKey, u64, Option<f32>);
 
 /// Whose loads a digest tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/decide/src/fleet/fleet_stores.rs
+++ b/crates/decide/src/fleet/fleet_stores.rs
@@ -1,6 +1,6 @@
 //! Stores of kept cache, and the moves that take their links.
 
-use crate::{EndpointKey, FleetTable, LinkMoves, LoadSource, StoreRow, StoreSpec, VmKey};
+use crate::{EndpointKey, FleetTable, LinkTransfers, LoadSource, StoreRow, StoreSpec, VmKey};
 use spanfold_entity::Moment;
 
 impl FleetTable {
@@ -31,16 +31,16 @@
 
     /// How long the moves of this VM, and of the VMs that `counts` names, still take each store's link,
     /// in microseconds, and the pace that their moves have shown lately; links at rest are left out.
-    pub fn moves_of(&self, counts: impl Fn(VmKey) -> bool, now: Moment) -> Vec<LinkMoves> {
+    pub fn moves_of(&self, counts: impl Fn(VmKey) -> bool, now: Moment) -> Vec<LinkTransfers> {
         self.busy_links(|row| row.moves_of(&counts, now))
     }
 
     /// The same of the VMs of other data centres, as their leads told.
-    pub fn far_moves(&self, now: Moment) -> Vec<LinkMoves> {
-        self.busy_links(|row| row.far_moves(now))
+    pub fn remote_transfers(&self, now: Moment) -> Vec<LinkTransfers> {
+        self.busy_links(|row| row.remote_transfers(now))
     }
 
-    fn busy_links(&self, moves_of: impl Fn(&StoreRow) -> (u64, Option<f64>)) -> Vec<LinkMoves> {
+    fn busy_links(&self, moves_of: impl Fn(&StoreRow) -> (u64, Option<f64>)) -> Vec<LinkTransfers> {
         let moves = self.stores.iter().map(|(key, row)| {
             let (micros, pace) = moves_of(row);
             (*key, micros, pace.map(|pace| pace as f32))
@@ -49,7 +49,7 @@
     }
 
     /// Takes what another VM says of its moves from stores.
-    pub fn apply_peer_moves(&mut self, source: LoadSource, moves: &[LinkMoves], now: Moment) {
+    pub fn apply_peer_transfers(&mut self, source: LoadSource, moves: &[LinkTransfers], now: Moment) {
         let named = moves.iter().map(|(key, _, _)| *key).collect();
         let before = std::mem::replace(&mut self.told.entry(source).or_default().stores, named);
         for key in before {
--- a/crates/decide/src/kept/store_row.rs
+++ b/crates/decide/src/kept/store_row.rs
@@ -239,7 +239,7 @@
     }
 
     /// Expected time of a move of `tokens` to an engine, in microseconds, waiting included.
-    pub fn move_micros(&self, tokens: u64, data_centre: &str, now: Moment) -> f64 {
+    pub fn transfer_time_micros(&self, tokens: u64, data_centre: &str, now: Moment) -> f64 {
         let peers: u64 = self.peers.values().map(|moves| moves.until.micros_since(now)).sum();
         let waiting = self.own_until.micros_since(now) + peers;
         waiting as f64 + self.spec.first_millis * 1_000.0 + self.link_micros(tokens, data_centre, now)
@@ -292,7 +292,7 @@
     }
 
     /// The same of the VMs of other data centres, as their leads told.
-    pub fn far_moves(&self, now: Moment) -> (u64, Option<f64>) {
+    pub fn remote_transfers(&self, now: Moment) -> (u64, Option<f64>) {
         let counted = self.moves_where(|source| matches!(source, LoadSource::DataCentre(_)));
         let micros = counted.iter().map(|moves| moves.until.micros_since(now)).sum();
         (micros, mean(told_paces(&counted, now)))
--- a/crates/decide/src/kept/transfer_plan.rs
+++ b/crates/decide/src/kept/transfer_plan.rs
@@ -32,7 +32,7 @@
     /// Tokens of parts that others share, and that are read there all the same.
     pub reread_tokens: u64,
     /// Expected time of these moves, in microseconds.
-    pub move_micros: f64,
+    pub transfer_time_micros: f64,
     /// Where each part may be taken from.
     pub fetches: Vec<Option<EndpointKey>>,
     /// Where each part is to be saved.
@@ -84,7 +84,7 @@
         let moves = holders.0.iter().zip(parts).map(|(stores, part)| {
             let tokens = u64::from(part.tokens);
             let times = stores.iter().filter_map(|store| {
-                Some((*store, table.store(*store)?.move_micros(tokens, data_centre, now)))
+                Some((*store, table.store(*store)?.transfer_time_micros(tokens, data_centre, now)))
             });
             times.min_by(|one, other| one.1.total_cmp(&other.1))
         });
@@ -94,7 +94,7 @@
 
 /// What moving a part to one engine is weighed against.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct MoveTerms {
+pub(crate) struct TransferTerms {
     /// Time in which it reads a token, in microseconds.
     pub read_micros: f64,
     /// The request's latency objective, in microseconds.
@@ -107,7 +107,7 @@
     moves: &SegmentTransfers,
     parts: &[PromptSegment],
     cached_count: usize,
-    terms: MoveTerms,
+    terms: TransferTerms,
 ) -> TransferPlan {
     let mut plan = TransferPlan {
         kept_tokens: parts[..cached_count].iter().map(|part| u64::from(part.tokens)).sum(),
@@ -121,7 +121,7 @@
         whole &= is_moved(*nearest, part, terms);
         if let Some((_, micros)) = nearest.filter(|_| whole) {
             plan.moved_tokens += tokens;
-            plan.move_micros += micros;
+            plan.transfer_time_micros += micros;
         } else if row < shared {
             plan.reread_tokens += tokens;
         }
@@ -135,7 +135,7 @@
     moves: &SegmentTransfers,
     parts: &[PromptSegment],
     cached_count: usize,
-    terms: MoveTerms,
+    terms: TransferTerms,
 ) -> Vec<Option<EndpointKey>> {
     let mut whole = true;
     let stores = moves.0.iter().zip(parts).enumerate().map(|(row, (nearest, part))| {
@@ -146,19 +146,20 @@
     stores.collect()
 }
 
-fn is_moved(nearest: Option<(EndpointKey, f64)>, part: &PromptSegment, terms: MoveTerms) -> bool {
+fn is_moved(nearest: Option<(EndpointKey, f64)>, part: &PromptSegment, terms: TransferTerms) -> bool {
     nearest.is_some_and(|(_, micros)| is_worth_moving(micros, u64::from(part.tokens), terms))
 }
 
-fn is_worth_moving(move_micros: f64, tokens: u64, terms: MoveTerms) -> bool {
+fn is_worth_moving(transfer_time_micros: f64, tokens: u64, terms: TransferTerms) -> bool {
     let reading = tokens as f64 * terms.read_micros;
     let with_price = reading + tokens as f64 * REREAD_MICROS;
-    move_micros < reading || move_micros < with_price.min(terms.objective_micros * LONG_MOVE_PART)
+    transfer_time_micros < reading
+        || transfer_time_micros < with_price.min(terms.objective_micros * LONG_MOVE_PART)
 }
 
 /// Where parts are saved from, and where they may be.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SavePlace<'a> {
+pub(crate) struct SaveTarget<'a> {
     /// The engine's data centre.
     pub data_centre: &'a str,
     /// Regions that the prompt may be kept in.
@@ -168,7 +169,7 @@
 /// Plans where an engine saves the parts that no store has.
 pub(crate) fn plan_saves(
     table: &FleetTable,
-    place: SavePlace<'_>,
+    place: SaveTarget<'_>,
     parts: &[PromptSegment],
     salt: u64,
     now: Moment,
@@ -188,7 +189,7 @@
     table: &FleetTable,
     key: u64,
     tokens: u32,
-    place: SavePlace<'_>,
+    place: SaveTarget<'_>,
     now: Moment,
 ) -> Option<EndpointKey> {
     let speed = |row: &StoreRow| {
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -31,7 +31,7 @@
     AccountRow, BackoffChange, CacheChange, CacheUpdate, CloseReporter, ColdSpec, DeploymentConfig,
     EndpointBackoff, EndpointCopy, EndpointEntry, EndpointKey, EndpointRow, EngineReport, EngineSpec,
     FleetCounts, FleetSweep, FleetTable, HomeRegions, LEADERS_PER_DATA_CENTRE, LimitChange, LimitReport,
-    LinkMoves, LoadCount, LoadSource, PIECE_BYTES, PIECES_LIMIT, PeerHeartbeat, PeerTable, PromptSegment,
+    LinkTransfers, LoadCount, LoadSource, PIECE_BYTES, PIECES_LIMIT, PeerHeartbeat, PeerTable, PromptSegment,
     PropagationPlan, ReassemblyProgress, ReportedLimit, RequestLimits, RouteKind, RouteRow, RouteTable,
     SendOutcome, SendReport, ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec,
     UpdateFragment, UpdateHistory, UpdateReassembly, VmEntry, VmKey, WeightTarget, pack, pick_target,
--- a/crates/decide/tests/kept.rs
+++ b/crates/decide/tests/kept.rs
@@ -94,8 +94,8 @@
 fn moves_wait_for_one_another_and_take_longer_across_data_centres() {
     let row = store(1_000_000);
     let now = Moment(0);
-    let near = row.move_micros(5_000, "dc-a", now);
-    let far = row.move_micros(5_000, "dc-b", now);
+    let near = row.transfer_time_micros(5_000, "dc-a", now);
+    let far = row.transfer_time_micros(5_000, "dc-b", now);
     assert!((near - 31_423.0).abs() < 10.0, "{near}");
     assert!((far - near - 25_423.0).abs() < 10.0, "{far}");
 }
@@ -139,14 +139,14 @@
 fn a_links_pace_is_that_of_moves_that_were_seen_lately() {
     let mut row = store(1_000);
     let now = Moment(0).after_millis(1);
-    let stated = row.move_micros(1_000, "dc-a", now);
+    let stated = row.transfer_time_micros(1_000, "dc-a", now);
     // Most VMs have moved nothing from there; the one that has saw a slow link.
     for name in ["vm-1", "vm-2", "vm-3"] {
         row.set_peer(LoadSource::Vm(VmKey::of(name)), 0, None, now);
     }
     row.set_peer(LoadSource::Vm(VmKey::of("vm-4")), 0, Some(4.0), now);
     assert!((row.pace(now) - 4.0).abs() < 1e-9);
-    assert!(row.move_micros(1_000, "dc-a", now) > stated * 1.5);
+    assert!(row.transfer_time_micros(1_000, "dc-a", now) > stated * 1.5);
     // What it saw does not count for long.
     assert!((row.pace(now.after_millis(2_000)) - 1.0).abs() < 1e-9);
 }
--- a/crates/decide/tests/peer_loads.rs
+++ b/crates/decide/tests/peer_loads.rs
@@ -101,12 +101,12 @@
     let mut table = FleetTable::default();
     table.set_services(&DeploymentConfig { services: services.into(), ..DeploymentConfig::default() });
     let (one, other) = (EndpointKey::of("a"), EndpointKey::of("b"));
-    let rest = table.store(one).unwrap().move_micros(5_000, "dc-a", Moment(0));
+    let rest = table.store(one).unwrap().transfer_time_micros(5_000, "dc-a", Moment(0));
     let source = LoadSource::Vm(VmKey(1));
-    table.apply_peer_moves(source, &[(one, 40_000, Some(3.0)), (other, 1_000, None)], Moment(0));
-    assert!(table.store(one).unwrap().move_micros(5_000, "dc-a", Moment(0)) > rest + 40_000.0);
-    table.apply_peer_moves(source, &[(other, 1_000, None)], Moment(0));
-    let now_rests = table.store(one).unwrap().move_micros(5_000, "dc-a", Moment(0));
+    table.apply_peer_transfers(source, &[(one, 40_000, Some(3.0)), (other, 1_000, None)], Moment(0));
+    assert!(table.store(one).unwrap().transfer_time_micros(5_000, "dc-a", Moment(0)) > rest + 40_000.0);
+    table.apply_peer_transfers(source, &[(other, 1_000, None)], Moment(0));
+    let now_rests = table.store(one).unwrap().transfer_time_micros(5_000, "dc-a", Moment(0));
     assert!((now_rests - rest).abs() < 1e-6, "{now_rests} {rest}");
-    assert!(table.store(other).unwrap().move_micros(5_000, "dc-a", Moment(0)) > rest);
+    assert!(table.store(other).unwrap().transfer_time_micros(5_000, "dc-a", Moment(0)) > rest);
 }
--- a/crates/gateway/src/peers/load_digest.rs
+++ b/crates/gateway/src/peers/load_digest.rs
@@ -11,7 +11,7 @@
 use crate::peers::placed_note::PlacedNote;
 use crate::peers::waiting_notes::NOTES_MOST;
 use crate::{
-    EndpointKey, FleetTable, LEADERS_PER_DATA_CENTRE, LinkMoves, LoadCount, LoadSource, PeerHeartbeat,
+    EndpointKey, FleetTable, LEADERS_PER_DATA_CENTRE, LinkTransfers, LoadCount, LoadSource, PeerHeartbeat,
     PeerTable, QuarantineMessage, RouteCounts, SumKey, VmKey, short_digest,
 };
 use serde::{Deserialize, Serialize};
@@ -51,7 +51,7 @@
     /// Engines that get no new work, and for how long, in microseconds.
     closed: Vec<(EndpointKey, u64)>,
     /// How long moves still take each store's link, in microseconds, and the pace that they have shown lately.
-    moves: Vec<LinkMoves>,
+    moves: Vec<LinkTransfers>,
     /// Weights that were just seen: engine, digest of the model, version.
     weights: Vec<(EndpointKey, u64, u64)>,
     /// Weights that were named: digest of the model, version, and microseconds since then.
@@ -117,7 +117,7 @@
         let now = gateway.now();
         let heard = gateway.peers().live_remote_peers(now);
         let table = gateway.table();
-        let (loads, moves) = (table.remote_loads(now), table.far_moves(now));
+        let (loads, moves) = (table.remote_loads(now), table.remote_transfers(now));
         let digest = Self::build(gateway, &table, DigestScope::Elsewhere, notes, loads, moves);
         Self { heard, ..digest }
     }
@@ -143,7 +143,7 @@
         scope: DigestScope,
         notes: DigestNotes,
         loads: Vec<(EndpointKey, LoadCount)>,
-        moves: Vec<LinkMoves>,
+        moves: Vec<LinkTransfers>,
     ) -> Self {
         let now = gateway.now();
         let audience = match scope {
@@ -213,7 +213,7 @@
         let mut table = gateway.table();
         if let Some(source) = source {
             table.apply_peer_loads(source, &loads.collect::<Vec<_>>(), now);
-            table.apply_peer_moves(source, &self.moves, now);
+            table.apply_peer_transfers(source, &self.moves, now);
         }
         for note in &self.placed {
             note.apply(&mut table, now);
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -343,7 +343,7 @@
         if choice.kept.fetches.iter().any(Option::is_some) {
             let fetches: Vec<_> = choice.kept.fetches.iter().map(|store| address(&table, *store)).collect();
             set(&names.fetch_from, write(&fetches).as_bytes());
-            let wait = choice.expected_micros + (choice.kept.move_micros * FETCH_FACTOR) as u64;
+            let wait = choice.expected_micros + (choice.kept.transfer_time_micros * FETCH_FACTOR) as u64;
             let until = now.after_micros(wait).after_millis(FETCH_EXTRA_MILLIS);
             if let Some(clock) = self.gateway.engine_clock_at(until) {
                 set(&names.fetch_until, clock.to_string().as_bytes());
--- a/crates/gateway/src/requests/flight.rs
+++ b/crates/gateway/src/requests/flight.rs
@@ -24,7 +24,7 @@
     pub expected_micros: u64,
     /// Tokens that move from each store for this request.
     moves: Vec<(EndpointKey, u64)>,
-    move_micros: f64,
+    transfer_time_micros: f64,
     begun: bool,
     /// When the endpoint's answer began.
     head_at: Option<Moment>,
@@ -53,7 +53,7 @@
             sent_at: gateway.now(),
             expected_micros: choice.expected_micros,
             moves,
-            move_micros: choice.kept.move_micros,
+            transfer_time_micros: choice.kept.transfer_time_micros,
             begun: false,
             head_at: None,
             connection: None,
@@ -110,8 +110,8 @@
             return table.record_slowdown(self.key, taken, self.expected_micros);
         };
         if let Some(row) = table.store_mut(*store) {
-            let rest = self.expected_micros as f64 - self.move_micros;
-            row.record_slowdown(taken as f64 - rest, self.move_micros, self.gateway.now());
+            let rest = self.expected_micros as f64 - self.transfer_time_micros;
+            row.record_slowdown(taken as f64 - rest, self.transfer_time_micros, self.gateway.now());
         }
         None
     }
