--- a/crates/decide/src/fleet/endpoint_row.rs
+++ b/crates/decide/src/fleet/endpoint_row.rs
@@ -77,7 +77,7 @@
 const CHANGED_MILLIS: u64 = 10_000;
 /// Source of the report that an engine's weights are about to change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CloseReporter {
+pub enum CordonSource {
     /// This VM, which orders the change.
     Own,
     /// A VM of this data centre.
@@ -116,9 +116,9 @@
     /// What it is believed to keep.
     pub kept: KeptParts,
     /// Until when it gets no new work, because its weights are about to change.
-    pub closing_until: Moment,
+    pub cordoned_until: Moment,
     /// Source of the report that its weights are about to change.
-    pub closed_by: CloseReporter,
+    pub cordoned_by: CordonSource,
     /// Weights as service discovery told them last; `entry` holds newer ones that were seen.
     pub listed_weights: Arc<BTreeMap<String, u64>>,
     /// When this VM last saw newer weights itself, so that peers are told.
@@ -150,8 +150,8 @@
             own: LoadCount::default(),
             peers: PeerLoads::default(),
             kept: KeptParts::default(),
-            closing_until: Moment(0),
-            closed_by: CloseReporter::Own,
+            cordoned_until: Moment(0),
+            cordoned_by: CordonSource::Own,
             listed_weights: Arc::clone(&entry.weights),
             observed_weights_at: None,
             reported_weights_at: None,
@@ -231,7 +231,7 @@
 
     /// Whether its weights are being changed, or about to be.
     pub fn is_closing(&self, now: Moment) -> bool {
-        now < self.closing_until
+        now < self.cordoned_until
     }
 
     /// Learns from how a send went.
--- a/crates/decide/src/fleet/fleet_answers.rs
+++ b/crates/decide/src/fleet/fleet_answers.rs
@@ -72,7 +72,7 @@
         Arc::make_mut(&mut row.entry.weights).insert(model.to_owned(), version);
         row.entry.weights = self.weights.share(Arc::clone(&row.entry.weights));
         row.observed_weights_at = Some(now);
-        row.closing_until = now;
+        row.cordoned_until = now;
         row.kept.clear();
         self.changing.insert(key);
         true
--- a/crates/decide/src/fleet/fleet_weights.rs
+++ b/crates/decide/src/fleet/fleet_weights.rs
@@ -1,7 +1,7 @@
 //! Weights of engines as entries, answers and other VMs tell them.
 
 use crate::fleet::fleet_table::AFTERLIFE_MILLIS;
-use crate::{CloseReporter, EndpointKey, EndpointRow, FleetTable, short_digest};
+use crate::{CordonSource, EndpointKey, EndpointRow, FleetTable, short_digest};
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,10 +21,10 @@
     }
 
     /// Gives an engine no new work until `until`, because its weights are about to change.
-    pub fn close_until(&mut self, key: EndpointKey, until: Moment) {
+    pub fn cordon_until(&mut self, key: EndpointKey, until: Moment) {
         if let Some(row) = self.rows.get_mut(&key) {
-            row.closing_until = until;
-            row.closed_by = CloseReporter::Own;
+            row.cordoned_until = until;
+            row.cordoned_by = CordonSource::Own;
             self.changing.insert(key);
         }
     }
@@ -32,8 +32,8 @@
     /// The same, as told by the VM that orders the change or by one that passes it on.
     pub fn cordon_as_reported(&mut self, key: EndpointKey, until: Moment, is_local: bool) {
         if let Some(row) = self.rows.get_mut(&key) {
-            row.closing_until = until;
-            row.closed_by = if is_local { CloseReporter::Local } else { CloseReporter::Remote };
+            row.cordoned_until = until;
+            row.cordoned_by = if is_local { CordonSource::Local } else { CordonSource::Remote };
             self.changing.insert(key);
         }
     }
@@ -45,7 +45,7 @@
         {
             row.entry.weights = self.weights.share(Arc::new(weights.clone()));
             row.observed_weights_at = Some(now);
-            row.closing_until = now;
+            row.cordoned_until = now;
             row.kept.clear();
             self.changing.insert(key);
         }
@@ -69,7 +69,7 @@
             Arc::make_mut(&mut row.entry.weights).insert(model, version);
             row.entry.weights = self.weights.share(Arc::clone(&row.entry.weights));
             row.kept.clear();
-            row.closing_until = now;
+            row.cordoned_until = now;
             let told = if is_local { &mut row.reported_weights_at } else { &mut row.remote_weights_at };
             *told = Some(now);
             self.changing.insert(key);
--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -34,7 +34,7 @@
 };
 pub use endpoint_backoff::{BackoffChange, EndpointBackoff};
 pub use endpoint_copy::{EndpointCopy, pack, unpack};
-pub use endpoint_row::{CloseReporter, EndpointRow, LoadCount, SendOutcome};
+pub use endpoint_row::{CordonSource, EndpointRow, LoadCount, SendOutcome};
 pub use fleet_keys::{EndpointKey, LinkTransfers, LoadSource, VmKey, short_digest};
 pub use fleet_table::{FleetCounts, FleetSweep, FleetTable};
 pub use home_regions::HomeRegions;
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -28,7 +28,7 @@
 };
 pub(crate) use fleet::SharedWeights;
 pub use fleet::{
-    AccountRow, BackoffChange, CacheChange, CacheUpdate, CloseReporter, ColdSpec, DeploymentConfig,
+    AccountRow, BackoffChange, CacheChange, CacheUpdate, ColdSpec, CordonSource, DeploymentConfig,
     EndpointBackoff, EndpointCopy, EndpointEntry, EndpointKey, EndpointRow, EngineReport, EngineSpec,
     FleetCounts, FleetSweep, FleetTable, HomeRegions, LEADERS_PER_DATA_CENTRE, LimitChange, LimitReport,
     LinkTransfers, LoadCount, LoadSource, PIECE_BYTES, PIECES_LIMIT, PeerHeartbeat, PeerTable, PromptSegment,
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -262,7 +262,7 @@
 #[test]
 fn an_engine_whose_weights_change_is_spared() {
     let mut table = two();
-    table.close_until(key("i-1"), NOW.after_millis(500));
+    table.cordon_until(key("i-1"), NOW.after_millis(500));
     table.take(key("i-2"), load(9_000, 9_000), &[], 0);
     assert_eq!(chosen(&table, &ask()).key, key("i-2"));
     assert_eq!(place(&table, &ask(), NOW.after_millis(600)).unwrap().key, key("i-1"));
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -40,11 +40,11 @@
     ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec, WeightTarget, salt_text,
 };
 pub(crate) use spanfold_decide::{
-    AdmissionVerdict, AdmissionView, AnswerCounts, BackoffChange, BudgetTerms, CacheReport, CloseReporter,
-    ColdTerms, CrashReport, EndpointCopy, EndpointCrash, EndpointRow, EngineState, ExposureTerms, FleetSweep,
-    FleetTable, HeldBytes, IdentityKey, IndexReporter, LEADERS_PER_DATA_CENTRE, LeaseHolder, LeaseOwnership,
-    LimitChange, LimitReport, LinkTransfers, ListMembership, LoadCount, LoadSource, PIECE_BYTES,
-    PeerHeartbeat, PeerTable, PlacementChoice, PlacementRequest, PollSchedule, PropagationPlan,
+    AdmissionVerdict, AdmissionView, AnswerCounts, BackoffChange, BudgetTerms, CacheReport, ColdTerms,
+    CordonSource, CrashReport, EndpointCopy, EndpointCrash, EndpointRow, EngineState, ExposureTerms,
+    FleetSweep, FleetTable, HeldBytes, IdentityKey, IndexReporter, LEADERS_PER_DATA_CENTRE, LeaseHolder,
+    LeaseOwnership, LimitChange, LimitReport, LinkTransfers, ListMembership, LoadCount, LoadSource,
+    PIECE_BYTES, PeerHeartbeat, PeerTable, PlacementChoice, PlacementRequest, PollSchedule, PropagationPlan,
     PublicationRecord, PublishedVersion, PublishedWeights, QuarantineChange, QuarantineMessage,
     QuarantinePhase, QuarantinedRequest, QueueOrder, RateTerms, ReassemblyProgress, RequestIdentity,
     RequestKey, RequestQuarantine, RequiredWeights, ReservationId, RetryBudget, RolloutAnswer, RolloutReason,
--- a/crates/gateway/src/orders/order_task.rs
+++ b/crates/gateway/src/orders/order_task.rs
@@ -189,7 +189,7 @@
     let until = gateway.now().after_millis(CLOSED_MILLIS);
     let mut table = gateway.table();
     for key in keys {
-        table.close_until(*key, until);
+        table.cordon_until(*key, until);
     }
     drop(table);
     if !keys.is_empty() {
--- a/crates/gateway/src/peers/load_digest.rs
+++ b/crates/gateway/src/peers/load_digest.rs
@@ -4,7 +4,7 @@
 //! costs accuracy only. A lead sums its data centre: what it tells others counts each VM once, because
 //! only what VMs say of themselves is summed.
 
-use crate::CloseReporter;
+use crate::CordonSource;
 use crate::endpoints::answer_handler::{AnswerNote, ForwardScope, ObservedAnswer};
 use crate::gateway::{Gateway, TellerReport};
 use crate::peers::peer_message::PeerStamp;
@@ -257,13 +257,13 @@
 
 /// Engines that are closed to new work, as far as a digest of `scope` tells of them.
 fn closed_engines(table: &FleetTable, scope: DigestScope, now: Moment) -> Vec<(EndpointKey, u64)> {
-    let tells = |teller: CloseReporter| match scope {
-        DigestScope::Vm => teller == CloseReporter::Own,
-        DigestScope::DataCentre => teller != CloseReporter::Remote,
-        DigestScope::Elsewhere => teller == CloseReporter::Remote,
+    let tells = |teller: CordonSource| match scope {
+        DigestScope::Vm => teller == CordonSource::Own,
+        DigestScope::DataCentre => teller != CordonSource::Remote,
+        DigestScope::Elsewhere => teller == CordonSource::Remote,
     };
-    let closed = table.changing().filter(|(_, row)| row.is_closing(now) && tells(row.closed_by));
-    closed.map(|(key, row)| (key, row.closing_until.micros_since(now))).collect()
+    let closed = table.changing().filter(|(_, row)| row.is_closing(now) && tells(row.cordoned_by));
+    closed.map(|(key, row)| (key, row.cordoned_until.micros_since(now))).collect()
 }
 
 /// Weights that were seen at engines a short while ago, as far as a digest of `scope` tells of them.
