--- a/crates/decide/src/admit/mod.rs
+++ b/crates/decide/src/admit/mod.rs
@@ -15,6 +15,6 @@
 pub(crate) use placement::candidates;
 pub use placement::{PlacementChoice, PlacementRequest, ShareView, place, salt_text, salt_version};
 pub use retry_budget::{BudgetTerms, RetryBudget};
-pub use share_queue::{QueueOrder, ShareOutlook, ShareQueue, ShareVerdict};
+pub use share_queue::{QueueOrder, ShareCapacity, ShareQueue, ShareVerdict};
 pub use shared_rate::{ColdTerms, ListMembership, RateTerms, RecentSends, ShareRight};
 pub(crate) use shared_rate::{LEAST_PER_S, SHARE_RETENTION_MILLIS};
--- a/crates/decide/src/admit/share_queue.rs
+++ b/crates/decide/src/admit/share_queue.rs
@@ -44,7 +44,7 @@
 
 /// What the endpoints of a service take that may serve a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ShareOutlook {
+pub struct ShareCapacity {
     /// When this VM may send one of them a request; none if it has no part of any.
     pub next_at: Option<Moment>,
     /// Requests a second that this VM may send them.
@@ -57,7 +57,7 @@
     pub backoff_until: Option<Moment>,
 }
 
-impl ShareOutlook {
+impl ShareCapacity {
     /// Adds an endpoint that rests, or returns from a rest: after it, it is expected to take a request a second for each of
     /// its slots.
     pub(crate) fn add_backed_off(&mut self, row: &EndpointRow) {
@@ -137,7 +137,7 @@
     }
 
     /// When one more of the refused may return, in milliseconds from now.
-    fn return_delay_millis(&mut self, outlook: &ShareOutlook, now: Moment) -> u64 {
+    fn return_delay_millis(&mut self, outlook: &ShareCapacity, now: Moment) -> u64 {
         // The refused return to any VM: each tells its part of the times that there are for all.
         let per_s = outlook.all_per_s / outlook.vms.max(1) as f64;
         let pause_micros = (MICROS_PER_SECOND as f64 / per_s.max(f64::MIN_POSITIVE)) as u64;
@@ -176,7 +176,7 @@
         &mut self,
         service: &str,
         order: &QueueOrder,
-        outlook: &ShareOutlook,
+        outlook: &ShareCapacity,
         now: Moment,
     ) -> ShareVerdict {
         let queue = self.services.entry(service.to_owned()).or_default();
@@ -199,7 +199,7 @@
     }
 
     /// When a request that is refused because all endpoints rest may return, in milliseconds from now.
-    pub fn refuse(&mut self, service: &str, outlook: &ShareOutlook, now: Moment) -> u64 {
+    pub fn refuse(&mut self, service: &str, outlook: &ShareCapacity, now: Moment) -> u64 {
         self.services.entry(service.to_owned()).or_default().return_delay_millis(outlook, now)
     }
 
--- a/crates/decide/src/fleet/fleet_answers.rs
+++ b/crates/decide/src/fleet/fleet_answers.rs
@@ -4,7 +4,7 @@
 
 use super::fleet_limits::COLD_MOST_MILLIS;
 use super::fleet_table::EndedRow;
-use crate::{BackoffChange, EndpointKey, EndpointRow, FleetTable, ShareOutlook};
+use crate::{BackoffChange, EndpointKey, EndpointRow, FleetTable, ShareCapacity};
 use spanfold_entity::Moment;
 use std::sync::Arc;
 
@@ -51,8 +51,8 @@
         vms: usize,
         may_serve: impl Fn(&EndpointRow) -> bool,
         now: Moment,
-    ) -> Option<ShareOutlook> {
-        let mut outlook = ShareOutlook { vms, ..ShareOutlook::default() };
+    ) -> Option<ShareCapacity> {
+        let mut outlook = ShareCapacity { vms, ..ShareCapacity::default() };
         let rows = self.rows_of(service).map(|(_, row)| row);
         for row in rows.filter(|row| row.takes_work(now) && may_serve(row)) {
             let until = row.rest.until(now)?;
--- a/crates/decide/src/fleet/fleet_limits.rs
+++ b/crates/decide/src/fleet/fleet_limits.rs
@@ -5,7 +5,7 @@
 use crate::admit::candidates;
 use crate::{
     ColdSpec, ColdTerms, EndpointEntry, EndpointKey, EndpointRow, FleetTable, LimitChange, LimitReport,
-    PlacementRequest, RateTerms, ShareOutlook, ShareView,
+    PlacementRequest, RateTerms, ShareCapacity, ShareView,
 };
 use spanfold_entity::Moment;
 
@@ -90,9 +90,9 @@
     }
 
     /// What the endpoints take together that a request may go to, if all of them rest or take few requests only.
-    pub fn share_outlook(&self, ask: &PlacementRequest<'_>, now: Moment) -> Option<ShareOutlook> {
+    pub fn share_capacity(&self, ask: &PlacementRequest<'_>, now: Moment) -> Option<ShareCapacity> {
         let shares = &ask.shares;
-        let mut outlook = ShareOutlook { vms: shares.vms, ..ShareOutlook::default() };
+        let mut outlook = ShareCapacity { vms: shares.vms, ..ShareCapacity::default() };
         let (mut is_any, mut all_rest) = (false, true);
         for (key, row) in candidates(self, ask, now) {
             is_any = true;
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -23,7 +23,7 @@
 pub use admit::{
     AdmissionVerdict, AdmissionView, BlockedCounts, BudgetTerms, ColdTerms, HeldBytes, ListMembership,
     PlacementChoice, PlacementRequest, QueueOrder, RateTerms, RecentSends, ReservationId, RetryBudget,
-    ShareOutlook, ShareQueue, ShareRight, ShareVerdict, ShareView, claim_probability, place, salt_text,
+    ShareCapacity, ShareQueue, ShareRight, ShareVerdict, ShareView, claim_probability, place, salt_text,
     salt_version,
 };
 pub(crate) use fleet::SharedWeights;
--- a/crates/decide/tests/share_queue.rs
+++ b/crates/decide/tests/share_queue.rs
@@ -2,7 +2,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use spanfold_decide::{QueueOrder, ShareOutlook, ShareQueue, ShareVerdict};
+use spanfold_decide::{QueueOrder, ShareCapacity, ShareQueue, ShareVerdict};
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
 
@@ -24,8 +24,8 @@
 }
 
 /// Endpoints that take so many requests a second from this VM, the next one at so many milliseconds.
-fn outlook(own_per_s: f64, next_millis: u64) -> ShareOutlook {
-    ShareOutlook {
+fn outlook(own_per_s: f64, next_millis: u64) -> ShareCapacity {
+    ShareCapacity {
         next_at: Some(at(next_millis)),
         own_per_s,
         all_per_s: own_per_s * 9.0,
@@ -43,7 +43,7 @@
     let second = queue.admit(SERVICE, &order(2, 1, "a", 1), &outlook(2.0, 240), at(1));
     assert!(matches!(second, ShareVerdict::Refuse(_)), "{second:?}");
     assert_eq!(queue.waiting(), 1);
-    let no_part = ShareOutlook { next_at: None, own_per_s: 0.0, ..outlook(2.0, 0) };
+    let no_part = ShareCapacity { next_at: None, own_per_s: 0.0, ..outlook(2.0, 0) };
     assert!(matches!(queue.admit(SERVICE, &order(3, 0, "a", 2), &no_part, at(2)), ShareVerdict::Refuse(_)));
 }
 
@@ -97,7 +97,7 @@
 fn those_that_are_refused_together_return_one_after_the_other() {
     let mut queue = ShareQueue::default();
     let outlook =
-        ShareOutlook { next_at: None, own_per_s: 0.0, all_per_s: 18.0, vms: 9, backoff_until: None };
+        ShareCapacity { next_at: None, own_per_s: 0.0, all_per_s: 18.0, vms: 9, backoff_until: None };
     let backs: Vec<_> = (0..400)
         .map(|number| match queue.admit(SERVICE, &order(number, 1, "a", 0), &outlook, at(0)) {
             ShareVerdict::Refuse(return_delay_millis) => return_delay_millis,
@@ -142,7 +142,7 @@
                 tally.served += 1;
                 return false;
             }
-            let outlook = ShareOutlook {
+            let outlook = ShareCapacity {
                 next_at: Some(next_at),
                 own_per_s: per_s,
                 all_per_s: per_s,
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -272,7 +272,7 @@
     fn wait_or_leave(&self, ask: &PlacementRequest<'_>) -> Option<PlaceResult> {
         let gateway = &self.gateway;
         let now = gateway.now();
-        let outlook = gateway.table().share_outlook(ask, now);
+        let outlook = gateway.table().share_capacity(ask, now);
         let Some(outlook) = outlook else {
             let blocked = gateway.table().blocked(ask, now);
             log::info!(request = self.ticket.id_text(), service = ask.service, blocked:%; "request.unplaced");
