--- a/crates/decide/src/fleet/endpoint_row.rs
+++ b/crates/decide/src/fleet/endpoint_row.rs
@@ -191,13 +191,13 @@
 
     /// Whether it is ejected after failed sends; afterwards one request at a time probes it.
     pub fn is_ejected(&self, now: Moment) -> bool {
-        let is_tried = (self.breaks > 0 || self.told.is_doubted()) && self.own.running > 0;
+        let is_tried = (self.breaks > 0 || self.told.is_suspected()) && self.own.running > 0;
         now < self.ejected_until || self.told.is_avoided(now) || is_tried
     }
 
     /// Whether VMs could not reach it, and none has had an answer from it since.
-    pub const fn is_doubted(&self) -> bool {
-        self.told.is_doubted()
+    pub const fn is_suspected(&self) -> bool {
+        self.told.is_suspected()
     }
 
     /// Passes it over until `until`.
@@ -294,7 +294,7 @@
     /// Whether a send to it is reported to other VMs: it failed, measured the pace, or probed an endpoint in doubt.
     pub(crate) fn should_propagate(&self, report: &SendReport) -> bool {
         report.outcome != SendOutcome::Answered
-            || self.told.is_doubted()
+            || self.told.is_suspected()
             || self.failure_ratio > NOTABLE_RATIO
             || report.pace.is_some()
     }
--- a/crates/decide/src/fleet/fleet_table.rs
+++ b/crates/decide/src/fleet/fleet_table.rs
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetCounts {
     /// Those that VMs could not reach.
-    pub doubted: usize,
+    pub suspected: usize,
     /// Those that are cold.
     pub cold: usize,
     /// Those that name a limit.
@@ -170,7 +170,7 @@
             }
             row.relax();
             row.peers.sweep(now);
-            counts.doubted += usize::from(row.is_doubted());
+            counts.suspected += usize::from(row.is_suspected());
             counts.limited += usize::from(row.limit.per_s().is_some());
             counts.departed += usize::from(row.has_departed);
             counts.resting += usize::from(row.rest.is_backing_off(now));
--- a/crates/decide/src/fleet/fleet_weights.rs
+++ b/crates/decide/src/fleet/fleet_weights.rs
@@ -82,7 +82,7 @@
     }
 
     /// Falls back to the versions that service discovery told, because an engine denied another.
-    pub fn doubt_weights(&mut self, key: EndpointKey) {
+    pub fn revert_weights(&mut self, key: EndpointKey) {
         if let Some(row) = self.rows.get_mut(&key) {
             row.entry.weights.clone_from(&row.listed_weights);
             row.observed_weights_at = None;
--- a/crates/decide/src/fleet/told_health.rs
+++ b/crates/decide/src/fleet/told_health.rs
@@ -51,7 +51,7 @@
     }
 
     /// Whether it was passed over, and nobody has had an answer from it since.
-    pub(crate) const fn is_doubted(&self) -> bool {
+    pub(crate) const fn is_suspected(&self) -> bool {
         self.rests > 0
     }
 
@@ -62,7 +62,7 @@
 
     /// The VM `teller` could not reach it; `turn` is this VM's place, drawn anew, among all that may try next.
     pub(crate) fn unreached(&mut self, teller: VmKey, turn: f64, now: Moment) {
-        if self.is_doubted() {
+        if self.is_suspected() {
             if now >= self.rested_at.after_millis(UNDER_WAY_MILLIS) {
                 self.rest(turn, now);
             }
--- a/crates/decide/src/rollout/rollout_run.rs
+++ b/crates/decide/src/rollout/rollout_run.rs
@@ -84,7 +84,7 @@
     /// Requests that this VM sent to the new version beyond its share.
     pub slack_sent: u64,
     /// Whether this VM has found the version bad: logged once.
-    pub is_doubted: bool,
+    pub is_suspected: bool,
 }
 
 impl RolloutRun {
@@ -102,7 +102,7 @@
             is_withdrawn: false,
             has_others: false,
             slack_sent: 0,
-            is_doubted: false,
+            is_suspected: false,
         }
     }
 
--- a/crates/decide/src/rollout/rollout_table.rs
+++ b/crates/decide/src/rollout/rollout_table.rs
@@ -182,7 +182,7 @@
 
     /// Adds counts of other VMs; gives the services whose version is found bad by them, for the first time here.
     pub fn add(&mut self, told: &[(SumKey, RouteCounts)]) -> Vec<String> {
-        let mut doubted = Vec::new();
+        let mut suspected = Vec::new();
         for ((service, order, route), counts) in told {
             let run = self
                 .runs
@@ -191,10 +191,10 @@
             let Some(run) = run.filter(|run| !run.phase.is_concluded()) else { continue };
             run.evidence.add(*route, *counts);
             if run.doubt() {
-                doubted.push(run.order.service.clone());
+                suspected.push(run.order.service.clone());
             }
         }
-        doubted
+        suspected
     }
 }
 
@@ -211,8 +211,8 @@
 
     /// Whether the version is found bad, for the first time here.
     fn doubt(&mut self) -> bool {
-        let is_new = !self.is_doubted && self.evidence.is_bad();
-        self.is_doubted |= is_new;
+        let is_new = !self.is_suspected && self.evidence.is_bad();
+        self.is_suspected |= is_new;
         is_new
     }
 }
--- a/crates/decide/tests/engine_starts.rs
+++ b/crates/decide/tests/engine_starts.rs
@@ -82,7 +82,7 @@
         }
     });
     let row = table.row(key(2_000)).unwrap();
-    assert!(takes_work(&table, key(2_000), 10) && !row.is_doubted());
+    assert!(takes_work(&table, key(2_000), 10) && !row.is_suspected());
     assert!((row.pace() - 1.0).abs() < 1e-9 && row.failure_ratio() < 1e-9);
 }
 
--- a/crates/decide/tests/fleet_table.rs
+++ b/crates/decide/tests/fleet_table.rs
@@ -99,7 +99,7 @@
     table.apply_entry(entry("i-1", 1), Moment(0));
     assert_eq!(table.oldest_weights(at(2))["m"], 2);
     // The engine denies it: back to what it was listed with.
-    table.doubt_weights(key);
+    table.revert_weights(key);
     assert_eq!(table.oldest_weights(at(2))["m"], 1);
 }
 
--- a/crates/gateway/src/gateway_daemon.rs
+++ b/crates/gateway/src/gateway_daemon.rs
@@ -198,7 +198,7 @@
         gauges.limited_endpoints.set(counts.limited as i64);
         gauges.leaving_endpoints.set(counts.departed as i64);
         gauges.resting_endpoints.set(counts.resting as i64);
-        gauges.doubted_endpoints.set(counts.doubted as i64);
+        gauges.doubted_endpoints.set(counts.suspected as i64);
         gauges.evacuated_data_centres.set(evacuated as i64);
         for key in gone {
             gateway.pool.forget(key);
--- a/crates/gateway/src/operators/gateway_metrics.rs
+++ b/crates/gateway/src/operators/gateway_metrics.rs
@@ -53,8 +53,8 @@
             leaving_endpoints: Gauge::default(),
             resting_endpoints: Gauge::default(),
         };
-        let doubted = gauges.doubted_endpoints.clone();
-        registry.register("doubted_endpoints", "Endpoints that VMs could not reach", doubted);
+        let suspected = gauges.doubted_endpoints.clone();
+        registry.register("doubted_endpoints", "Endpoints that VMs could not reach", suspected);
         let evacuated = gauges.evacuated_data_centres.clone();
         registry.register("evacuated_data_centres", "Data centres that get no work, as asked", evacuated);
         let cold = gauges.cold_endpoints.clone();
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -504,7 +504,7 @@
             }
             flight.refused(facts.rest_millis.value());
             if head.status == StatusCode::MISDIRECTED_REQUEST {
-                self.gateway.table().doubt_weights(flight.key);
+                self.gateway.table().revert_weights(flight.key);
             }
             log::info!(request = self.ticket.id_text(), endpoint = flight.endpoint.as_str(),
                 status = head.status.as_u16(); "endpoint.refused");
--- a/crates/gateway/src/rollout/rollout_desk.rs
+++ b/crates/gateway/src/rollout/rollout_desk.rs
@@ -157,9 +157,9 @@
                 ForwardScope::Passed => book.sums.passed.add(*key, *counts),
             }
         }
-        let doubted = book.add(told);
+        let suspected = book.add(told);
         drop(book);
-        for service in doubted {
+        for service in suspected {
             self.log_doubt(&service, "other VMs");
         }
     }
