--- a/crates/decide/src/fleet/endpoint_copy.rs
+++ b/crates/decide/src/fleet/endpoint_snapshot.rs
@@ -17,7 +17,7 @@
 
 /// All endpoints at one position in the store's history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndpointCopy {
+pub struct EndpointSnapshot {
     /// All changes up to here are in it.
     pub position: StorePosition,
     /// Entries that could be read.
@@ -26,7 +26,7 @@
     pub unreadable: Vec<String>,
 }
 
-impl EndpointCopy {
+impl EndpointSnapshot {
     /// The endpoints of a table whose changes up to `position` are applied.
     pub fn of(table: &FleetTable, position: StorePosition, now: Moment) -> Self {
         let listed = table.rows().filter(|(_, row)| row.missing_until.is_none() && !row.is_unreadable);
--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -2,8 +2,8 @@
 
 mod deployment;
 mod endpoint_backoff;
-mod endpoint_copy;
 mod endpoint_row;
+mod endpoint_snapshot;
 mod fleet_answers;
 mod fleet_entries;
 mod fleet_keys;
@@ -33,8 +33,8 @@
     WeightTarget,
 };
 pub use endpoint_backoff::{BackoffChange, EndpointBackoff};
-pub use endpoint_copy::{EndpointCopy, pack, unpack};
 pub use endpoint_row::{CordonSource, EndpointRow, LoadCount, SendOutcome};
+pub use endpoint_snapshot::{EndpointSnapshot, pack, unpack};
 pub use fleet_keys::{EndpointKey, LinkTransfers, LoadSource, VmKey, short_digest};
 pub use fleet_table::{FleetCounts, FleetSweep, FleetTable};
 pub use home_regions::HomeRegions;
--- a/crates/decide/src/fleet/peer_table.rs
+++ b/crates/decide/src/fleet/peer_table.rs
@@ -368,7 +368,7 @@
     /// first.list(vm(2, 20));
     /// assert!(first.copy_sources().is_empty());
     /// ```
-    pub fn copy_sources(&self) -> Vec<SocketAddr> {
+    pub fn snapshot_sources(&self) -> Vec<SocketAddr> {
         let near = self.rows.values().filter(|row| row.listed && self.is_near_row(row));
         let ahead: Vec<_> = near.filter(|row| row.entry.lead_order() < self.own.lead_order()).collect();
         if ahead.len() < LISTERS {
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -29,7 +29,7 @@
 pub(crate) use fleet::SharedWeights;
 pub use fleet::{
     AccountRow, BackoffChange, CacheChange, CacheUpdate, ColdSpec, CordonSource, DeploymentConfig,
-    EndpointBackoff, EndpointCopy, EndpointEntry, EndpointKey, EndpointRow, EngineReport, EngineSpec,
+    EndpointBackoff, EndpointEntry, EndpointKey, EndpointRow, EndpointSnapshot, EngineReport, EngineSpec,
     FleetCounts, FleetSweep, FleetTable, HomeRegions, LEADERS_PER_DATA_CENTRE, LimitChange, LimitReport,
     LinkTransfers, LoadCount, LoadSource, PIECE_BYTES, PIECES_LIMIT, PeerHeartbeat, PeerTable, PromptSegment,
     PropagationPlan, ReassemblyProgress, ReportedLimit, RequestLimits, RouteKind, RouteRow, RouteTable,
--- a/crates/decide/tests/peer_table.rs
+++ b/crates/decide/tests/peer_table.rs
@@ -221,7 +221,7 @@
             for other in &near {
                 book.list(other.clone());
             }
-            let sources = book.copy_sources();
+            let sources = book.snapshot_sources();
             listing += usize::from(sources.is_empty());
             for source in &sources {
                 *asked.entry(*source).or_insert(0.0) += 1.0 / sources.len() as f64;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -41,7 +41,7 @@
 };
 pub(crate) use spanfold_decide::{
     AdmissionVerdict, AdmissionView, AnswerCounts, BackoffChange, BudgetTerms, CacheReport, ColdTerms,
-    CordonSource, CrashReport, EndpointCopy, EndpointCrash, EndpointRow, EngineState, ExposureTerms,
+    CordonSource, CrashReport, EndpointCrash, EndpointRow, EndpointSnapshot, EngineState, ExposureTerms,
     FleetSweep, FleetTable, HeldBytes, IdentityKey, IndexReporter, LEADERS_PER_DATA_CENTRE, LeaseHolder,
     LeaseOwnership, LimitChange, LimitReport, LinkTransfers, ListMembership, LoadCount, LoadSource,
     PIECE_BYTES, PeerHeartbeat, PeerTable, PlacementChoice, PlacementRequest, PollSchedule, PropagationPlan,
--- a/crates/gateway/src/store/copy_client.rs
+++ b/crates/gateway/src/store/copy_client.rs
@@ -3,7 +3,7 @@
 use super::copy_port::{CODE_BYTES, CODE_HEADER, COPY_PATH, CodeUse, NONCE_HEADER, copy_code};
 use crate::gateway::Gateway;
 use crate::store::call_link::CallLink;
-use crate::{EndpointCopy, WireCall, unpack};
+use crate::{EndpointSnapshot, WireCall, unpack};
 use hyper::Method;
 use hyper::header::HeaderName;
 use std::net::SocketAddr;
@@ -20,9 +20,9 @@
 const COPY_BYTES_MOST: u64 = 64 << 20;
 
 /// A copy from one of the VMs that are to give one; none if this VM is to list the endpoints itself, or nobody gave one.
-pub(crate) async fn fetch_copy(gateway: &Gateway) -> Option<EndpointCopy> {
+pub(crate) async fn fetch_copy(gateway: &Gateway) -> Option<EndpointSnapshot> {
     let until = Instant::now() + COPY_WAIT;
-    let sources = gateway.peers().copy_sources();
+    let sources = gateway.peers().snapshot_sources();
     if sources.is_empty() {
         return None;
     }
@@ -41,7 +41,7 @@
     None
 }
 
-async fn ask(gateway: &Gateway, source: SocketAddr) -> Result<EndpointCopy, String> {
+async fn ask(gateway: &Gateway, source: SocketAddr) -> Result<EndpointSnapshot, String> {
     let key = gateway.peer_key().ok_or("the peer key is not known")?;
     let nonce = format!("{:032x}", rand::random::<u128>());
     let code = blake3::Hash::from_bytes(copy_code(&key, CodeUse::Question, &nonce, &[]));
@@ -64,7 +64,7 @@
     if expected != blake3::Hash::from_bytes(*code) {
         return Err("an answer that is not authentic".to_owned());
     }
-    let copy: EndpointCopy = unpack(packed, COPY_BYTES_MOST).ok_or("an answer that cannot be read")?;
+    let copy: EndpointSnapshot = unpack(packed, COPY_BYTES_MOST).ok_or("an answer that cannot be read")?;
     let era = gateway.era.known();
     if era.is_some_and(|era| era != copy.position.era) {
         return Err(format!("a copy of the era {}", copy.position.era));
--- a/crates/gateway/src/store/copy_port.rs
+++ b/crates/gateway/src/store/copy_port.rs
@@ -6,7 +6,7 @@
 use crate::operators::gateway_metrics::KindLabel;
 use crate::peers::peer_message::PeerKey;
 use crate::requests::own_answer::{AnswerBody, full_body};
-use crate::{EndpointCopy, StorePosition, pack};
+use crate::{EndpointSnapshot, StorePosition, pack};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -116,7 +116,7 @@
     let packed = if let Some((packed, _)) = fresh {
         packed.clone()
     } else {
-        let packed = Bytes::from(pack(&EndpointCopy::of(&gateway.table(), position, now))?);
+        let packed = Bytes::from(pack(&EndpointSnapshot::of(&gateway.table(), position, now))?);
         state.packed = Some((packed.clone(), now.after_millis(FRESH_MILLIS)));
         packed
     };
--- a/crates/gateway/src/store/store_view.rs
+++ b/crates/gateway/src/store/store_view.rs
@@ -11,8 +11,8 @@
 use crate::rollout::RECORD_PREFIX;
 use crate::store::lease_keeper::{ORDERS_KEY, VM_PREFIX};
 use crate::{
-    EndpointCopy, EndpointCrash, EndpointEntry, EntryError, RequestKey, RouteTable, StoreEvent, StoreItem,
-    StorePosition, VmEntry, short_digest,
+    EndpointCrash, EndpointEntry, EndpointSnapshot, EntryError, RequestKey, RouteTable, StoreEvent,
+    StoreItem, StorePosition, VmEntry, short_digest,
 };
 use spanfold_entity::Moment;
 use std::collections::HashMap;
@@ -133,7 +133,7 @@
     }
 
     /// Takes all endpoints as another VM knows them: that counts as listed up to its position.
-    pub(crate) fn take_copy(&mut self, copy: EndpointCopy) {
+    pub(crate) fn take_copy(&mut self, copy: EndpointSnapshot) {
         let prefix = self.gateway.dialect.keys.endpoints;
         let position = copy.position;
         self.is_bulk = copy.entries.len() >= BULK_LEAST;
