--- a/crates/decide/src/admit/mod.rs
+++ b/crates/decide/src/admit/mod.rs
@@ -17,4 +17,4 @@
 pub use retry_budget::{BudgetTerms, RetryBudget};
 pub use share_queue::{QueueOrder, ShareCapacity, ShareQueue, ShareVerdict};
 pub use shared_rate::{ColdTerms, ListMembership, RateTerms, RecentSends, ShareRight};
-pub(crate) use shared_rate::{LEAST_PER_S, SHARE_RETENTION_MILLIS};
+pub(crate) use shared_rate::{MIN_REQUESTS_PER_S, SHARE_RETENTION_MILLIS};
--- a/crates/decide/src/admit/placement.rs
+++ b/crates/decide/src/admit/placement.rs
@@ -10,8 +10,8 @@
 
 use crate::admit::endpoint_sample::sample_endpoints;
 use crate::kept::{
-    REREAD_MICROS, SaveTarget, SegmentHolders, SegmentTransfers, TransferPlan, TransferTerms, plan_fetches,
-    plan_saves, plan_transfers,
+    RECOMPUTE_MICROS_PER_TOKEN, SaveTarget, SegmentHolders, SegmentTransfers, TransferPlan, TransferTerms,
+    plan_fetches, plan_saves, plan_transfers,
 };
 use crate::{
     ColdTerms, EndpointKey, EndpointRow, FleetTable, HomeRegions, LoadCount, PromptSegment, RateTerms,
@@ -201,7 +201,7 @@
         if may_be_overdue(row, &choice, ask, now) {
             continue;
         }
-        let rereading = choice.kept.reread_tokens as f64 * REREAD_MICROS;
+        let rereading = choice.kept.reread_tokens as f64 * RECOMPUTE_MICROS_PER_TOKEN;
         let cost = choice.expected_micros as f64
             + choice.excess_tokens as f64 * OVER_TOKEN_MICROS
             + rereading
--- a/crates/decide/src/admit/shared_rate.rs
+++ b/crates/decide/src/admit/shared_rate.rs
@@ -28,7 +28,7 @@
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 /// An endpoint that names a lower limit, or zero, gets this many requests a second all the same: one that gets nothing says
 /// nothing, and nobody would learn that its limit has ended.
-pub(crate) const LEAST_PER_S: f64 = 1.0 / 60.0;
+pub(crate) const MIN_REQUESTS_PER_S: f64 = 1.0 / 60.0;
 
 /// After this long, in milliseconds, all VMs in touch know of a new entry: changes of the store reach them within 2 s.
 const LISTED_MILLIS: u64 = 3_000;
@@ -87,7 +87,7 @@
     /// assert_eq!((terms.count, terms.window_millis), (1, 5_050));
     /// ```
     pub fn of_limit(per_s: f64) -> Self {
-        let per_s = per_s.max(LEAST_PER_S);
+        let per_s = per_s.max(MIN_REQUESTS_PER_S);
         let count = per_s.floor().max(1.0);
         Self {
             count: count as u64,
--- a/crates/decide/src/fleet/endpoint_backoff.rs
+++ b/crates/decide/src/fleet/endpoint_backoff.rs
@@ -12,7 +12,7 @@
 /// again if it was meant; a faulty answer costs this VM the endpoint for so long.
 const REST_MOST_MILLIS: u64 = 3_600_000;
 /// Time between requests to an endpoint that has not served one since its rest, in milliseconds.
-const PROBE_MILLIS: u64 = 200;
+const PROBE_INTERVAL_MILLIS: u64 = 200;
 
 /// Effect of an answer that asks for rest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -82,7 +82,7 @@
     /// Notes that a request is about to be sent.
     pub fn record_send(&mut self, now: Moment) {
         if self.is_returning {
-            self.probe_at = now.after_millis(PROBE_MILLIS);
+            self.probe_at = now.after_millis(PROBE_INTERVAL_MILLIS);
         }
     }
 
--- a/crates/decide/src/fleet/endpoint_row.rs
+++ b/crates/decide/src/fleet/endpoint_row.rs
@@ -53,9 +53,9 @@
 }
 
 /// First ejection after a break, in milliseconds; doubles with each further one.
-const EJECT_MILLIS: u64 = 700;
+const FIRST_EJECTION_MILLIS: u64 = 700;
 /// Longest ejection, in milliseconds: a restarted endpoint has a new id and starts afresh.
-const EJECT_MOST_MILLIS: u64 = 6_000;
+const MAX_EJECTION_MILLIS: u64 = 6_000;
 /// Rests after a refusal that names no reason, in milliseconds: a full queue drains in about that.
 const REFUSED_MILLIS: u64 = 150;
 /// Weight of the newest result in the failure ratio: ten results make the picture.
@@ -252,7 +252,7 @@
                 self.ejected_until = self.ejected_until.max(now.after_millis(REFUSED_MILLIS));
             }
             SendOutcome::Unreached | SendOutcome::Broken | SendOutcome::Silent => {
-                let rest = (EJECT_MILLIS << self.breaks.min(4)).min(EJECT_MOST_MILLIS);
+                let rest = (FIRST_EJECTION_MILLIS << self.breaks.min(4)).min(MAX_EJECTION_MILLIS);
                 // Requests that were under way together break together: that is one break.
                 if now >= self.ejected_until {
                     self.breaks += 1;
--- a/crates/decide/src/fleet/peer_table.rs
+++ b/crates/decide/src/fleet/peer_table.rs
@@ -22,7 +22,7 @@
 /// A data centre whose VMs are all silent for this long is passed over, in milliseconds: two digests
 /// and a little; callers of short objectives lose less than by waiting for connections to fail. A VM
 /// that is silent for as long leads nobody.
-const SILENT_MILLIS: u64 = 750;
+const SILENCE_TIMEOUT_MILLIS: u64 = 750;
 
 /// Largest deployment in which every VM tells every other, in VMs: at 12 a VM sends some 500 packets a
 /// second, about as many as within a data centre of 25.
@@ -91,7 +91,7 @@
     /// Whether it was heard lately, or may not have had the time to say anything.
     fn is_expected(&self, now: Moment) -> bool {
         let is_new = self.listed_at.is_some_and(|at| now < at.after_millis(EXPECTED_MILLIS));
-        is_new || self.is_heard_within(SILENT_MILLIS, now)
+        is_new || self.is_heard_within(SILENCE_TIMEOUT_MILLIS, now)
     }
 
     fn is_heard_within(&self, millis: u64, now: Moment) -> bool {
@@ -331,7 +331,7 @@
     pub fn leader_rank(&self, now: Moment) -> usize {
         let ahead = self.rows.values().filter(|row| {
             self.is_near_row(row)
-                && row.is_heard_within(SILENT_MILLIS, now)
+                && row.is_heard_within(SILENCE_TIMEOUT_MILLIS, now)
                 && row.entry.lead_order() < self.own.lead_order()
         });
         ahead.count()
@@ -408,7 +408,7 @@
     pub fn unreachable_data_centres(&self, now: Moment) -> Vec<&str> {
         let mut heard: BTreeMap<&str, bool> = BTreeMap::new();
         for row in self.rows.values().filter(|row| row.heard_at.is_some()) {
-            let lately = row.is_heard_within(SILENT_MILLIS, now);
+            let lately = row.is_heard_within(SILENCE_TIMEOUT_MILLIS, now);
             *heard.entry(row.entry.data_centre.as_str()).or_default() |= lately;
         }
         heard.into_iter().filter(|(_, lately)| !lately).map(|(data_centre, _)| data_centre).collect()
--- a/crates/decide/src/fleet/reported_limit.rs
+++ b/crates/decide/src/fleet/reported_limit.rs
@@ -10,7 +10,7 @@
 //! A limit that no answer repeats expires by doubling, since all VMs would otherwise send at once to an endpoint that may
 //! still need it.
 
-use crate::admit::{LEAST_PER_S, RateTerms};
+use crate::admit::{MIN_REQUESTS_PER_S, RateTerms};
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 use std::cmp::Ordering;
 
@@ -23,7 +23,7 @@
 /// A limit that has risen to so many requests a second is over.
 const RISEN_PER_S: f64 = 1_000.0;
 /// Interval between repeated reports of one endpoint to other VMs, in milliseconds.
-const REPEAT_MILLIS: u64 = 1_000;
+const REPEAT_INTERVAL_MILLIS: u64 = 1_000;
 
 /// Time for which the end of a limit is kept, in milliseconds, so that late reports do not restore the limit.
 const ENDED_MILLIS: u64 = 10_000;
@@ -141,7 +141,7 @@
             return Some(per_s);
         }
         let doublings = now.micros_since(lapse_at) as f64 / (DOUBLE_MILLIS * MICROS_PER_MILLI as f64);
-        let risen = per_s.max(LEAST_PER_S) * doublings.exp2();
+        let risen = per_s.max(MIN_REQUESTS_PER_S) * doublings.exp2();
         // One that was higher from the beginning is over as soon as it lapses.
         (risen < RISEN_PER_S).then_some(risen)
     }
@@ -153,7 +153,7 @@
         if change == LimitChange::None && !is_repeated {
             return None;
         }
-        self.repeat_at = now.after_millis(REPEAT_MILLIS);
+        self.repeat_at = now.after_millis(REPEAT_INTERVAL_MILLIS);
         self.repeated_received_at = report.received_at;
         Some(report)
     }
--- a/crates/decide/src/kept/mod.rs
+++ b/crates/decide/src/kept/mod.rs
@@ -16,6 +16,6 @@
 pub use store_row::{StoreRow, salted_key};
 pub use transfer_plan::TransferPlan;
 pub(crate) use transfer_plan::{
-    REREAD_MICROS, SaveTarget, SegmentHolders, SegmentTransfers, TransferTerms, plan_fetches, plan_saves,
-    plan_transfers,
+    RECOMPUTE_MICROS_PER_TOKEN, SaveTarget, SegmentHolders, SegmentTransfers, TransferTerms, plan_fetches,
+    plan_saves, plan_transfers,
 };
--- a/crates/decide/src/kept/transfer_plan.rs
+++ b/crates/decide/src/kept/transfer_plan.rs
@@ -12,7 +12,7 @@
 
 /// Cost of reading a token again that could have been taken from elsewhere, in microseconds: such
 /// reading is priced, and keeps the engine from others' prompts.
-pub(crate) const REREAD_MICROS: f64 = 100.0;
+pub(crate) const RECOMPUTE_MICROS_PER_TOKEN: f64 = 100.0;
 /// A move that takes longer than reading is made up to this part of the latency objective: it saves engines the reading
 /// of shared parts, and beyond it answers are late.
 const LONG_MOVE_PART: f64 = 0.45;
@@ -152,7 +152,7 @@
 
 fn is_worth_moving(transfer_time_micros: f64, tokens: u64, terms: TransferTerms) -> bool {
     let reading = tokens as f64 * terms.read_micros;
-    let with_price = reading + tokens as f64 * REREAD_MICROS;
+    let with_price = reading + tokens as f64 * RECOMPUTE_MICROS_PER_TOKEN;
     transfer_time_micros < reading
         || transfer_time_micros < with_price.min(terms.objective_micros * LONG_MOVE_PART)
 }
--- a/crates/decide/src/weights/weight_scheduler.rs
+++ b/crates/decide/src/weights/weight_scheduler.rs
@@ -22,7 +22,7 @@
 const CLOSED_PART: f64 = 0.3;
 /// An order that has shown no effect is given again after this long, in milliseconds: running
 /// requests end first, and a load takes about a second.
-const REPEAT_MILLIS: u64 = 4_000;
+const REPEAT_INTERVAL_MILLIS: u64 = 4_000;
 /// An engine is closed to new work for at least this long before its order, in milliseconds, so
 /// that all VMs have heard of it.
 const CLOSE_LEAST_MILLIS: u64 = 100;
@@ -173,7 +173,7 @@
                 LoadStage::Ordered(_, again) => now >= again,
             };
             if due {
-                *stage = LoadStage::Ordered(now, now.after_millis(REPEAT_MILLIS));
+                *stage = LoadStage::Ordered(now, now.after_millis(REPEAT_INTERVAL_MILLIS));
                 steps.push(WeightStep::Order(engine.key, engine.model.clone(), *version));
             }
         }
--- a/crates/gateway/src/gateway_daemon.rs
+++ b/crates/gateway/src/gateway_daemon.rs
@@ -22,9 +22,9 @@
 
 /// Time for the balancer to notice that this VM is not ready: it asks once a second and believes
 /// the second miss.
-const LEAVE_BALANCER: Duration = Duration::from_millis(2_600);
+const BALANCER_DRAIN_DELAY: Duration = Duration::from_millis(2_600);
 /// Period of looking whether requests are still open at a stop.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Part of the grace that is left unused, so that the process ends by itself.
 const GRACE_MARGIN: Duration = Duration::from_millis(600);
 /// Period of dropping what has ended.
@@ -149,10 +149,10 @@
         let grace = Duration::from_secs(self.gateway.settings.grace_s).saturating_sub(GRACE_MARGIN);
         log::info!(name = self.gateway.settings.name.as_str(); "gateway.stopping");
         self.gateway.stopping.send_replace(true);
-        tokio::time::sleep_until(begun + LEAVE_BALANCER).await;
+        tokio::time::sleep_until(begun + BALANCER_DRAIN_DELAY).await;
         self.closing.send_replace(true);
         loop {
-            tokio::time::sleep(DRAIN_LOOK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             let open = self.gateway.open_requests.load(Ordering::SeqCst)
                 + self.gateway.caller_connections.load(Ordering::SeqCst);
             // A connection counts until its last answer is out, and nothing new is accepted.
@@ -162,7 +162,7 @@
             }
         }
         // The last bytes of the last answers are still on their way out.
-        tokio::time::sleep(DRAIN_LOOK).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         self.kill();
     }
 }
--- a/crates/gateway/src/operators/operator_port.rs
+++ b/crates/gateway/src/operators/operator_port.rs
@@ -5,7 +5,7 @@
 use crate::RequestKey;
 use crate::gateway::Gateway;
 use crate::operators::gateway_status::GatewayStatus;
-use crate::requests::front_door::ACCEPT_PAUSE;
+use crate::requests::front_door::ACCEPT_RETRY_DELAY;
 use crate::requests::own_answer::{AnswerBody, full_body};
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -34,7 +34,7 @@
 pub(crate) async fn serve_operators(gateway: Arc<Gateway>, listener: TcpListener, answer: OperatorAnswer) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let gateway = Arc::clone(&gateway);
--- a/crates/gateway/src/peers/digest_relay.rs
+++ b/crates/gateway/src/peers/digest_relay.rs
@@ -26,7 +26,7 @@
 const GATHER_PAUSE: Duration = Duration::from_millis(8);
 /// A lead is silent if it has passed on nothing for this long, in milliseconds: VMs tell of themselves each 300 at
 /// least, some fifty of them all the time.
-const SILENT_MILLIS: u64 = 150;
+const SILENCE_TIMEOUT_MILLIS: u64 = 150;
 /// Digests in one message: a hundred bytes each, so that a usual message is of some packets' size.
 const DIGESTS_MOST: usize = 32;
 
@@ -57,7 +57,7 @@
     }
 
     fn other_is_silent(&self, now: Moment) -> bool {
-        now >= Moment(self.other_at.load(Ordering::Relaxed)).after_millis(SILENT_MILLIS)
+        now >= Moment(self.other_at.load(Ordering::Relaxed)).after_millis(SILENCE_TIMEOUT_MILLIS)
     }
 
     fn take(&self) -> Vec<(PeerStamp, LoadDigest)> {
--- a/crates/gateway/src/quarantine/quarantine_task.rs
+++ b/crates/gateway/src/quarantine/quarantine_task.rs
@@ -16,7 +16,7 @@
 pub(crate) const HOLD_PREFIX: &str = "spanfold/held/";
 
 /// Pause between looks at what is over, in milliseconds.
-const LOOK_MILLIS: u64 = 500;
+const POLL_INTERVAL_MILLIS: u64 = 500;
 /// Pause after a failed call, in milliseconds: calls are priced, refused ones too.
 const RETRY_MILLIS: u64 = 2_000;
 /// The shortest lease that is asked for, in milliseconds.
@@ -36,7 +36,7 @@
         gateway.judge_requests();
         if gateway.now() >= sweep_at {
             sweep(&gateway);
-            sweep_at = gateway.now().after_millis(LOOK_MILLIS);
+            sweep_at = gateway.now().after_millis(POLL_INTERVAL_MILLIS);
         }
     }
 }
@@ -61,7 +61,7 @@
     loop {
         tokio::select! {
             () = writer.gateway.holds_changed.notified() => {}
-            () = tokio::time::sleep(Duration::from_millis(LOOK_MILLIS)) => {}
+            () = tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MILLIS)) => {}
         }
         writer.write_due().await;
     }
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -31,7 +31,7 @@
 use std::time::Duration;
 
 /// Pause before a waiting prompt looks for room again, in milliseconds: a part of the time for which an engine runs one.
-const LOOK_MILLIS: u64 = 20;
+const POLL_INTERVAL_MILLIS: u64 = 20;
 /// Pause for each other prompt that waits here, in milliseconds: a VM looks some 250 times a second at most.
 const LOOK_SHARE_MILLIS: u64 = 4;
 /// Pause before a request that waits for an endpoint that takes few looks at the endpoints again, in milliseconds.
@@ -137,7 +137,7 @@
         let begun = self.gateway.now();
         let waiting = CountGuard::new(&self.gateway, |gateway| &gateway.waiting_prompts);
         let others = self.gateway.waiting_prompts.load(Ordering::Relaxed).saturating_sub(1);
-        let pause = LOOK_MILLIS.max(others * LOOK_SHARE_MILLIS);
+        let pause = POLL_INTERVAL_MILLIS.max(others * LOOK_SHARE_MILLIS);
         tokio::time::sleep(Duration::from_millis(pause)).await;
         drop(waiting);
         self.waited_micros += self.gateway.now().micros_since(begun);
--- a/crates/gateway/src/requests/front_door.rs
+++ b/crates/gateway/src/requests/front_door.rs
@@ -22,7 +22,7 @@
 /// Bytes that a head's framing may take beside what the configuration counts.
 const FRAMING_BYTES: usize = 1 << 10;
 /// Pause after an accept that failed, as when descriptors ran out.
-pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Serves callers until `closing`; then nothing new is accepted and kept connections end after
 /// their present request.
@@ -43,7 +43,7 @@
             }
             Err(error) => {
                 log::warn!(cause:% = error; "accept.failed");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -44,7 +44,7 @@
 /// First pause after a failed call, in milliseconds, doubled with each further one.
 const RETRY_MILLIS: u64 = 100;
 /// Longest pause after failed calls, in milliseconds.
-const RETRY_MOST_MILLIS: u64 = 800;
+const MAX_RETRY_DELAY_MILLIS: u64 = 800;
 /// Failed calls in a row after which the store counts as having been away.
 const AWAY_FAILURES: u32 = 2;
 /// Without news for this long, in milliseconds, the VM behind the lead asks the store itself: a watch,
@@ -66,7 +66,7 @@
 /// A VM that lacks changes for so long says so, in milliseconds: by then they should have been fetched.
 const LACKING_MILLIS: u64 = 1_000;
 /// Who leads may change at any moment: looked at anew after this long, in milliseconds.
-const LOOK_MILLIS: u64 = 100;
+const POLL_INTERVAL_MILLIS: u64 = 100;
 
 /// What another VM says of the store.
 #[derive(Debug)]
@@ -191,7 +191,7 @@
                 self.take_word(word).await;
                 true
             }
-            () = self.gateway.until(turn.min(now.after_millis(LOOK_MILLIS))) => {
+            () = self.gateway.until(turn.min(now.after_millis(POLL_INTERVAL_MILLIS))) => {
                 if now < turn { true } else { self.watch_once(told).await }
             }
         }
@@ -540,7 +540,7 @@
             log::warn!(dependency = "store", call = kind, cause = cause.as_str(); "dependency.lost");
         }
         let pause = RETRY_MILLIS << self.failures.min(4);
-        self.backoff_until = now.after_millis(pause.min(RETRY_MOST_MILLIS));
+        self.backoff_until = now.after_millis(pause.min(MAX_RETRY_DELAY_MILLIS));
         None
     }
 
--- a/crates/gateway/src/store/store_news.rs
+++ b/crates/gateway/src/store/store_news.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Shortest pause between pieces: they take half of a link of 10 Mbit/s, and callers have the rest.
-const PIECE_PAUSE: Duration = Duration::from_millis(25);
+const SEND_INTERVAL: Duration = Duration::from_millis(25);
 /// Part of the teller's own link that pieces may take.
 const LINK_SHARE: f64 = 0.5;
 /// Changes that take longer to tell are not told but fetched by each VM itself: a link of 10 Mbit/s brings
@@ -71,8 +71,8 @@
 /// Time in which a VM sends one piece to each of `targets` over its part of the link.
 fn piece_pause(targets: usize, link_mbps: f64) -> Duration {
     if targets == 0 {
-        return PIECE_PAUSE;
+        return SEND_INTERVAL;
     }
     let micros = (targets * PIECE_BYTES * 8) as f64 / (link_mbps.max(1.0) * LINK_SHARE);
-    PIECE_PAUSE.max(Duration::from_micros(micros as u64))
+    SEND_INTERVAL.max(Duration::from_micros(micros as u64))
 }
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 
 /// Longest frame; the chunks of a whole configuration fit.
-const FRAME_BYTES: usize = 16 * 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 const LENGTH_BYTES: usize = 4;
 
 /// The frame of `value`.
@@ -24,7 +24,7 @@
     let mut length = [0; LENGTH_BYTES];
     stream.read_exact(&mut length).await.ok()?;
     let length = u32::from_be_bytes(length) as usize;
-    if length > FRAME_BYTES {
+    if length > MAX_FRAME_BYTES {
         return None;
     }
     let mut body = vec![0; length];
--- a/crates/peer/src/identity.rs
+++ b/crates/peer/src/identity.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// A silent connection ends after this long; heartbeats come each second.
-const IDLE: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Why an identity cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -79,7 +79,7 @@
             .with_client_auth_cert(chain, key)
             .map_err(|error| mismatch(&error))?;
         let mut transport = quinn::TransportConfig::default();
-        transport.max_idle_timeout(IDLE.try_into().ok());
+        transport.max_idle_timeout(IDLE_TIMEOUT.try_into().ok());
         let transport = Arc::new(transport);
         let server = QuicServerConfig::try_from(server).map_err(|error| mismatch(&error))?;
         let client = QuicClientConfig::try_from(client).map_err(|error| mismatch(&error))?;
--- a/crates/policy/src/cell.rs
+++ b/crates/policy/src/cell.rs
@@ -35,7 +35,7 @@
 /// Smallest wait that a refused caller is told, in milliseconds.
 const RETRY_LEAST_MILLIS: u64 = 250;
 /// Longest wait that a refused caller is told, in milliseconds.
-const RETRY_MOST_MILLIS: u64 = 30_000;
+const MAX_RETRY_DELAY_MILLIS: u64 = 30_000;
 
 /// Pieces that should go to a store.
 #[derive(Clone, Debug)]
@@ -518,7 +518,7 @@
 }
 
 fn refuse_ask(context: &mut Context<'_>, to: &str, ask: &Ask, reason: RefusalKind, least_millis: u64) {
-    let least = least_millis.clamp(RETRY_LEAST_MILLIS, RETRY_MOST_MILLIS);
+    let least = least_millis.clamp(RETRY_LEAST_MILLIS, MAX_RETRY_DELAY_MILLIS);
     let retry_after_millis = spread_wait(to, ask.request, least);
     context.send(to, Message::Refusal { request: ask.request, reason, retry_after_millis });
 }
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -21,7 +21,7 @@
 /// A shard's home that has not answered for this long is bypassed, in milliseconds.
 const SILENCE_MILLIS: u64 = 300;
 /// A write or read without an answer is repeated after this long, in milliseconds.
-const REPEAT_MILLIS: u64 = 1_000;
+const REPEAT_INTERVAL_MILLIS: u64 = 1_000;
 /// A table read this long ago is fresh enough to answer "pending", in milliseconds.
 const FRESH_MILLIS: u64 = 500;
 /// Records of one entry; a value of the platform holds up to a megabyte.
@@ -197,7 +197,7 @@
         let shard = shard_of(key, context.world.shards);
         let home = home_of(context, shard);
         let repeat = Event::Settle { key, nonce, answer: answer.cloned() };
-        self.settling.insert(nonce, (repeat, context.now.after_millis(REPEAT_MILLIS)));
+        self.settling.insert(nonce, (repeat, context.now.after_millis(REPEAT_INTERVAL_MILLIS)));
         context.send(&home, Message::Settle { shard, key, nonce, answer: answer.cloned() });
     }
 
@@ -312,7 +312,7 @@
         }
         if let Some(writing) = &mut shard.writing {
             if context.now >= writing.repeat_at {
-                writing.repeat_at = context.now.after_millis(REPEAT_MILLIS);
+                writing.repeat_at = context.now.after_millis(REPEAT_INTERVAL_MILLIS);
                 let (sequence, text) = (writing.sequence, writing.text.clone());
                 context.emit(Effect::CreateLog { shard: number, sequence, text });
             }
@@ -347,7 +347,7 @@
     fn log_read(&mut self, context: &mut Context<'_>, number: u32, known: bool, entries: &[LogEntry]) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
         if !known {
-            shard.read_again_at = context.now.after_millis(REPEAT_MILLIS / 4);
+            shard.read_again_at = context.now.after_millis(REPEAT_INTERVAL_MILLIS / 4);
             return;
         }
         for entry in entries.iter().filter(|entry| entry.sequence >= shard.next).collect::<Vec<_>>() {
@@ -415,7 +415,7 @@
 
 fn read_log(context: &mut Context<'_>, number: u32, shard: &mut ShardState) {
     if context.now >= shard.read_again_at {
-        shard.read_again_at = context.now.after_millis(REPEAT_MILLIS);
+        shard.read_again_at = context.now.after_millis(REPEAT_INTERVAL_MILLIS);
         context.emit(Effect::ReadLog { shard: number, from: shard.next });
     }
 }
@@ -477,7 +477,7 @@
     }
     let lines: Vec<&ClaimRecord> = records.iter().map(|(record, _)| record).collect();
     let Ok(text) = serde_json::to_string(&lines) else { return };
-    let repeat_at = context.now.after_millis(REPEAT_MILLIS);
+    let repeat_at = context.now.after_millis(REPEAT_INTERVAL_MILLIS);
     let sequence = shard.next;
     shard.writing = Some(PendingWrite { sequence, text: text.clone(), records, repeat_at });
     context.emit(Effect::CreateLog { shard: number, sequence, text });
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -13,13 +13,13 @@
 use std::collections::HashMap;
 
 /// Period of probes of an endpoint that is well, in milliseconds.
-const PROBE_MILLIS: u64 = 1_000;
+const PROBE_INTERVAL_MILLIS: u64 = 1_000;
 /// Period of probes of an endpoint that takes no work, in milliseconds.
 const RETURN_MILLIS: u64 = 250;
 /// First ejection, in milliseconds; it doubles with each failure after the first.
-const EJECT_MILLIS: u64 = 500;
+const FIRST_EJECTION_MILLIS: u64 = 500;
 /// Longest ejection, in milliseconds.
-const EJECT_MOST_MILLIS: u64 = 30_000;
+const MAX_EJECTION_MILLIS: u64 = 30_000;
 
 /// State of the health plug-in: when each endpoint is probed next.
 #[derive(Debug)]
@@ -66,7 +66,7 @@
             }
         }
         for (index, endpoint, well) in due {
-            let period = if well { PROBE_MILLIS } else { RETURN_MILLIS };
+            let period = if well { PROBE_INTERVAL_MILLIS } else { RETURN_MILLIS };
             self.next_probe.insert(index, context.now.after_millis(period));
             context.emit(Effect::Probe { endpoint });
         }
@@ -116,8 +116,9 @@
         return;
     }
     row.failures = row.failures.saturating_add(1);
-    let millis =
-        EJECT_MILLIS.saturating_mul(1 << row.failures.min(10).saturating_sub(1)).min(EJECT_MOST_MILLIS);
+    let millis = FIRST_EJECTION_MILLIS
+        .saturating_mul(1 << row.failures.min(10).saturating_sub(1))
+        .min(MAX_EJECTION_MILLIS);
     row.ejected_until = now.after_millis(millis);
     context.log("endpoint.ejected", format!("{name} {kind:?} {millis}ms"));
 }
--- a/crates/policy/src/orders.rs
+++ b/crates/policy/src/orders.rs
@@ -24,13 +24,13 @@
 /// An order is not sent later than this after it was decided, in milliseconds.
 const ORDER_MILLIS: u64 = 1_000;
 /// Period of looking at the lease record, in milliseconds.
-const LOOK_MILLIS: u64 = 1_500;
+const POLL_INTERVAL_MILLIS: u64 = 1_500;
 /// A new holder first hears for this long which engines are loading, in milliseconds.
 const SETTLE_MILLIS: u64 = 2_500;
 /// A load that takes longer does not count any more, in milliseconds.
 const LOAD_MILLIS: u64 = 120_000;
 /// An order that has shown no effect is given again after this long, in milliseconds.
-const REPEAT_MILLIS: u64 = 5_000;
+const REPEAT_INTERVAL_MILLIS: u64 = 5_000;
 /// That an engine is as it should be is told this often.
 const TOLD_AGAIN: u8 = 4;
 /// Engines of the deployment that load at once: loading slows beyond that.
@@ -102,7 +102,7 @@
 
     fn tick(&mut self, context: &mut Context<'_>) {
         if context.now >= self.look_at && is_gateway(context) {
-            self.look_at = context.now.after_millis(LOOK_MILLIS);
+            self.look_at = context.now.after_millis(POLL_INTERVAL_MILLIS);
             context.emit(Effect::ReadLease);
         }
         if context.now < self.safe_until && context.now >= self.settled_at {
@@ -203,7 +203,7 @@
             }
             loading += usize::from(!counted);
             order.ordered_until = now.after_millis(LOAD_MILLIS);
-            order.repeat_at = now.after_millis(REPEAT_MILLIS);
+            order.repeat_at = now.after_millis(REPEAT_INTERVAL_MILLIS);
             let (endpoint, fencing) = (endpoint.clone(), self.record.fencing);
             context.emit(Effect::Order { endpoint, target, fencing, valid_until });
         }
--- a/crates/spanfoldd/src/caller/frame_reader.rs
+++ b/crates/spanfoldd/src/caller/frame_reader.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// A longer frame is taken as a broken stream.
-const FRAME_BYTES: usize = 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 1024 * 1024;
 /// The data of the last frame.
 pub(crate) const DONE: &[u8] = b"[DONE]";
 
@@ -51,7 +51,7 @@
                 return parse(&frame).map_or(NextFrame::Broken("malformed"), NextFrame::Frame);
             }
             searched = self.buffer.len().saturating_sub(1);
-            if self.buffer.len() > FRAME_BYTES {
+            if self.buffer.len() > MAX_FRAME_BYTES {
                 return NextFrame::Broken("too long");
             }
             match tokio::time::timeout(stall, self.body.frame()).await {
--- a/crates/spanfoldd/src/caller/mod.rs
+++ b/crates/spanfoldd/src/caller/mod.rs
@@ -32,7 +32,7 @@
 pub(crate) type CallerBody = BoxBody<Bytes, BoxError>;
 
 /// Pause after a failed accept, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 pub(crate) fn full_body(bytes: impl Into<Bytes>) -> CallerBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed()
@@ -48,7 +48,7 @@
 pub(crate) async fn serve_callers(shared: Arc<SharedState>, listener: TcpListener) {
     loop {
         let Ok((socket, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         tokio::spawn(serve_connection(Arc::clone(&shared), socket, true));
@@ -59,7 +59,7 @@
 pub(crate) async fn serve_operators(shared: Arc<SharedState>, listener: TcpListener) {
     loop {
         let Ok((socket, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         tokio::spawn(serve_connection(Arc::clone(&shared), socket, false));
--- a/crates/spanfoldd/src/daemon.rs
+++ b/crates/spanfoldd/src/daemon.rs
@@ -19,9 +19,9 @@
 /// Messages of peers that wait for the control thread.
 const INBOX: usize = 4_096;
 /// Time for the balancer to notice that this VM is not ready any more.
-const LEAVE_BALANCER: Duration = Duration::from_secs(1);
+const BALANCER_DRAIN_DELAY: Duration = Duration::from_secs(1);
 /// Period of looking whether requests are still in flight.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a daemon could not start.
 #[derive(Debug, thiserror::Error)]
@@ -129,13 +129,13 @@
         let grace = tokio::time::Instant::now() + Duration::from_millis(self.shared.settings.grace_millis);
         log::info!(name = self.shared.settings.name.as_str(); "daemon.stopping");
         self.shared.stopping.store(true, Ordering::SeqCst);
-        tokio::time::sleep(LEAVE_BALANCER).await;
+        tokio::time::sleep(BALANCER_DRAIN_DELAY).await;
         self.shared.raise_surely(Event::Stop).await;
         while self.shared.open_requests.load(Ordering::SeqCst) > 0 && tokio::time::Instant::now() < grace {
-            tokio::time::sleep(DRAIN_LOOK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         // The last answers' events and the last words to peers are still on their way.
-        tokio::time::sleep(DRAIN_LOOK * 5).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL * 5).await;
         self.kill();
     }
 
--- a/crates/spanfoldd/src/endpoint_client.rs
+++ b/crates/spanfoldd/src/endpoint_client.rs
@@ -18,7 +18,7 @@
 /// A connection that takes longer has failed.
 const CONNECT: Duration = Duration::from_secs(1);
 /// Idle connections are closed before most endpoints would.
-const IDLE: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A request body towards an endpoint.
 pub(crate) type OutgoingBody = BoxBody<Bytes, Box<dyn std::error::Error + Send + Sync>>;
@@ -43,7 +43,7 @@
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT));
-        let pooled = Client::builder(TokioExecutor::new()).pool_idle_timeout(IDLE).build(connector);
+        let pooled = Client::builder(TokioExecutor::new()).pool_idle_timeout(IDLE_TIMEOUT).build(connector);
         Self { pooled }
     }
 
