--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`GatewayDaemon`] is one running gateway.
 //! - [`DeploymentConfig`], [`EndpointEntry`], [`WeightTarget`] are what the store tells.
 //! - [`RouteTable`] finds routes and accounts; [`place`] chooses endpoints from a [`FleetTable`].
-//! - [`RetryBudget`] bounds second sends; [`WeightDesk`] decides which engine loads weights next.
+//! - [`RetryBudget`] bounds second sends; [`WeightScheduler`] decides which engine loads weights next.
 //! - [`EventReader`] cuts streams into whole events.
 
 mod clock;
--- a/crates/gateway/src/orders/free_task.rs
+++ b/crates/gateway/src/orders/free_task.rs
@@ -4,7 +4,7 @@
 //! also engines whose entries went a short while ago: an entry may lapse while its engine serves. A
 //! request names the weights that it expects, so none can start on the old ones then, and those
 //! that ran ended before their engine changed: no move can be under way from a part that is freed.
-//! Which parts those are is decided by [`old_parts`].
+//! Which parts those are is decided by [`outdated_segments`].
 
 use crate::gateway::Gateway;
 use crate::outdated_segments;
