--- a/crates/decide/src/quarantine/mod.rs
+++ b/crates/decide/src/quarantine/mod.rs
@@ -1,14 +1,14 @@
-//! Which requests are held back because endpoints end under them.
+//! Quarantine of requests that crash endpoints.
 
 mod crash_history;
-mod ending;
+mod endpoint_crash;
 mod quarantine_message;
 mod quarantine_table;
 mod request_key;
 mod request_quarantine;
 
 pub use crash_history::{CrashHistory, CrashVerdict, ENDINGS_LEAST};
-pub use ending::{CrashReport, EndpointCrash};
+pub use endpoint_crash::{CrashReport, EndpointCrash};
 pub use quarantine_message::QuarantineMessage;
 pub use quarantine_table::{QuarantinePhase, QuarantineTable, QuarantinedRequest};
 pub use request_key::{IdentityKey, KeyTextError, RequestIdentity, RequestKey};
--- a/crates/decide/src/quarantine/quarantine_message.rs
+++ b/crates/decide/src/quarantine/quarantine_message.rs
@@ -1,61 +1,61 @@
-//! What VMs tell one another of requests under which endpoints end.
+//! Messages between VMs about requests that crash endpoints.
 //!
-//! Invariant: times are told as ages and rests, since each VM counts from its own start; a note that comes twice or late
-//! changes nothing more.
+//! Invariant: times are sent as ages and remaining times, since each VM counts from its own start; a message
+//! that arrives twice or late has no further effect.
 
 use crate::{CrashReport, EndpointCrash, EndpointKey, RequestKey};
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
 
-/// One thing to tell; 60 bytes at most in its binary form.
+/// One message; at most 60 bytes in its binary form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineMessage {
-    /// An endpoint ended while it had a request.
+    /// An endpoint crashed while it was running a request.
     Ended {
         /// The request.
         request: RequestKey,
-        /// Which start of which endpoint.
+        /// Identifies one start of the endpoint.
         start: EndpointKey,
         /// Short digest of its address.
         place: u64,
-        /// Short digest of its service's name.
+        /// Short digest of the service's name.
         service: u64,
-        /// Endpoints of its service.
+        /// Number of endpoints of the service.
         among: u32,
-        /// For how long it had been at the request, in microseconds.
+        /// Time for which it had been running the request, in microseconds.
         age_micros: u64,
-        /// How long ago it ended, in microseconds.
+        /// Time since it crashed, in microseconds.
         ago_micros: u64,
     },
-    /// An endpoint ran a request to its end.
+    /// An endpoint completed a request.
     Answered {
         /// The request.
         request: RequestKey,
-        /// How long ago, in microseconds.
+        /// Time since then, in microseconds.
         ago_micros: u64,
     },
-    /// A request is held back.
+    /// A request is quarantined.
     Held {
         /// The request.
         request: RequestKey,
-        /// Which hold of it.
+        /// Number of this quarantine of the request.
         round: u32,
-        /// Endpoints that ended under it.
+        /// Number of endpoints that crashed under it.
         endings: u32,
-        /// For how long still, in microseconds.
+        /// Remaining time, in microseconds.
         rest_micros: u64,
     },
-    /// A hold was lifted.
+    /// A request was released from quarantine.
     Lifted {
         /// The request.
         request: RequestKey,
-        /// Which hold of it.
+        /// Number of this quarantine of the request.
         round: u32,
     },
 }
 
 impl QuarantineMessage {
-    /// The note of a report.
+    /// Converts a report to a message.
     pub fn of_report(report: &CrashReport, now: Moment) -> Self {
         let EndpointCrash { start, place, service, among, at } = report.ending;
         let (request, age_micros) = (report.request, report.age_micros);
--- a/crates/decide/src/quarantine/request_key.rs
+++ b/crates/decide/src/quarantine/request_key.rs
@@ -1,22 +1,23 @@
-//! What makes two requests the same: client account, method, host, path and body.
+//! Identity of a request: client account, method, host, path and body.
 //!
-//! Invariant: the key is the same on every VM of a deployment and cannot be computed outside it, so a caller chooses
-//! neither where its requests land in a table nor two requests that share a key.
+//! Invariant: the key is the same on every VM of a deployment and cannot be computed outside it, so a caller
+//! can choose neither its requests' position in a table nor two requests that share a key.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// Bytes of a request's key: at 40,000 requests a second, two different ones share a key once in 10^14 years.
+/// Length of a request's key: at 40,000 requests a second, two different requests share a key once in 10^14
+/// years.
 const KEY_BYTES: usize = 16;
-/// Keeps this use of the deployment's secret apart from others.
+/// Context string for key derivation, which separates this use of the deployment's secret from others.
 const CONTEXT: &str = "spanfold 1 identity of requests";
 
-/// Identity of all requests that are the same, whatever their ids.
+/// Key of all requests with the same identity, whatever their ids.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestKey([u8; KEY_BYTES]);
 
-/// The secret under which a deployment's request keys are computed.
+/// Secret key under which a deployment's request keys are computed.
 #[derive(Clone, Copy)]
 pub struct IdentityKey([u8; 32]);
 
@@ -26,18 +27,18 @@
     }
 }
 
-/// What a request is known by.
+/// Properties that identify a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'a> {
     /// Name of the client account; empty if there is none.
     pub account: &'a str,
     /// The method.
     pub method: &'a str,
-    /// The host asked for, in any case of letters.
+    /// The requested host; case is ignored.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// The whole body.
+    /// The complete body.
     pub body: &'a [u8],
 }
 
@@ -47,23 +48,23 @@
         Self(blake3::derive_key(CONTEXT, secret))
     }
 
-    /// The key of a request.
+    /// Returns the key of a request.
     ///
     /// # Examples
     /// ```
     /// use spanfold_decide::{IdentityKey, RequestIdentity};
     /// let key = IdentityKey::derive(&[7; 32]);
-    /// let one = RequestIdentity { account: "a", method: "POST", host: "h", path: "/p", body: b"x" };
-    /// let other = RequestIdentity { body: b"y", ..one };
-    /// assert_eq!(key.of(&one), key.of(&RequestIdentity { host: "H", ..one }));
-    /// assert_ne!(key.of(&one), key.of(&other));
-    /// assert_ne!(key.of(&one), IdentityKey::derive(&[8; 32]).of(&one));
+    /// let first = RequestIdentity { account: "a", method: "POST", host: "h", path: "/p", body: b"x" };
+    /// let second = RequestIdentity { body: b"y", ..first };
+    /// assert_eq!(key.of(&first), key.of(&RequestIdentity { host: "H", ..first }));
+    /// assert_ne!(key.of(&first), key.of(&second));
+    /// assert_ne!(key.of(&first), IdentityKey::derive(&[8; 32]).of(&first));
     /// ```
     pub fn of(&self, identity: &RequestIdentity<'_>) -> RequestKey {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         let host = identity.host.to_ascii_lowercase();
         for text in [identity.account, identity.method, &host, identity.path] {
-            // The length goes first, so that no two rows of texts run together alike.
+            // The length prefix keeps different sequences of texts from hashing alike.
             hasher.update(&(text.len() as u64).to_le_bytes());
             hasher.update(text.as_bytes());
         }
@@ -80,7 +81,7 @@
     }
 }
 
-/// A text that is no request's key.
+/// Error for a text that is not a request key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyTextError;
 
@@ -95,7 +96,7 @@
 impl FromStr for RequestKey {
     type Err = KeyTextError;
 
-    /// Reads the form that [`fmt::Display`] writes.
+    /// Parses the form that [`fmt::Display`] writes.
     fn from_str(text: &str) -> Result<Self, KeyTextError> {
         if text.len() != 2 * KEY_BYTES || !text.bytes().all(|digit| digit.is_ascii_hexdigit()) {
             return Err(KeyTextError);
