--- a/crates/decide/src/rollout/mod.rs
+++ b/crates/decide/src/rollout/mod.rs
@@ -1,4 +1,4 @@
-//! Which share of a service's requests goes to the version that replaces the present one.
+//! Rollouts: which share of a service's requests goes to the version that replaces the present one.
 
 mod rollout_evidence;
 mod rollout_order;
--- a/crates/decide/src/rollout/rollout_order.rs
+++ b/crates/decide/src/rollout/rollout_order.rs
@@ -1,66 +1,67 @@
-//! What the operator orders of a service's version, and how far its roll-out has come.
+//! Order of an operator to change a service's version, and the phases of its rollout.
 
 use crate::StorePosition;
 use serde::{Deserialize, Serialize};
 
-/// Part of the exposure that tests use: the rest is for what arrives until a fault that begins late is noticed.
-const TESTED_PART: f64 = 0.3;
-/// Share of the requests while the roll-out widens, as a multiple of the exposure.
-const WIDENED_FACTOR: f64 = 2.0;
-/// Part of the requests allowed beyond the share that goes to the new version at once, so that there are answers to judge
-/// where few requests come.
-const SLACK_PART: f64 = 0.4;
+/// Fraction of the exposure for canary requests: the remainder is for those that arrive until a late fault is
+/// detected.
+const CANARY_FRACTION: f64 = 0.3;
+/// Share of the requests while the rollout widens, as a multiple of the exposure.
+const WIDENING_FACTOR: f64 = 2.0;
+/// Fraction of the requests allowed beyond the share that goes to the new version at once, so that there are
+/// answers to evaluate where few requests arrive.
+const CANARY_SLACK_FRACTION: f64 = 0.4;
 
-/// What all VMs together may send to a version that turns out to be bad.
+/// Limits for what all VMs together may send to a version that turns out to be bad.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExposureTerms {
     /// Share of the service's requests.
     pub share: f64,
-    /// Requests beyond that share.
+    /// Number of requests beyond that share.
     pub slack: f64,
 }
 
 impl ExposureTerms {
-    /// Requests beyond the share that all VMs together use for tests.
-    pub fn tested_slack(&self) -> u64 {
-        (self.slack * SLACK_PART) as u64
+    /// Number of canary requests beyond the share, over all VMs.
+    pub fn canary_slack(&self) -> u64 {
+        (self.slack * CANARY_SLACK_FRACTION) as u64
     }
 }
 
-/// An order to move a service to another version.
+/// Order to change a service's version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutOrder {
     /// The service.
     pub service: String,
-    /// The version that its endpoints are to have.
+    /// Target version of its endpoints.
     pub target: String,
-    /// Time for the move in milliseconds; none if the order names no usable time.
+    /// Duration of the rollout in milliseconds; none if the order states no usable one.
     pub duration_millis: Option<u64>,
 }
 
-/// How far a roll-out has come.
+/// Phase of a rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutPhase {
-    /// A small share of the requests tests the new version.
+    /// A small share of the requests goes to the new version as canaries.
     #[default]
     Testing,
     /// The new version gets a larger share for a short time.
     Widening,
-    /// The new version gets all new requests; the old one finishes what it has.
+    /// The new version gets all new requests; the old one finishes its open requests.
     Moving,
     /// The new version is in use; endpoints of other versions are stopped.
     Succeeded,
-    /// The new version gets nothing.
+    /// The new version gets no requests.
     RolledBack,
 }
 
 impl RolloutPhase {
-    /// Whether the roll-out has ended.
+    /// Whether the rollout has ended.
     pub const fn is_concluded(self) -> bool {
         matches!(self, Self::Succeeded | Self::RolledBack)
     }
 
-    /// Share of the service's requests that go to the new version.
+    /// Returns the share of the service's requests that go to the new version.
     ///
     /// # Examples
     /// ```
@@ -71,14 +72,14 @@
     /// ```
     pub fn share(self, terms: &ExposureTerms) -> f64 {
         match self {
-            Self::Testing => terms.share * TESTED_PART,
-            Self::Widening => (terms.share * WIDENED_FACTOR).min(1.0),
+            Self::Testing => terms.share * CANARY_FRACTION,
+            Self::Widening => (terms.share * WIDENING_FACTOR).min(1.0),
             Self::Moving | Self::Succeeded => 1.0,
             Self::RolledBack => 0.0,
         }
     }
 
-    /// A word for logs and metrics.
+    /// Returns the label for logs and metrics.
     pub const fn label(self) -> &'static str {
         match self {
             Self::Testing => "testing",
@@ -90,17 +91,17 @@
     }
 }
 
-/// What the VM that decides keeps in the store of a roll-out, for all others and for its successor.
+/// Record of a rollout in the store. The VM that decides writes it for all others and for its successor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRecord {
     /// The service.
     pub service: String,
-    /// The version.
+    /// The target version.
     pub target: String,
-    /// Where in the store's history its order stands.
+    /// Position of the order in the store's history.
     pub order: StorePosition,
-    /// How far it has come.
+    /// The phase.
     pub phase: RolloutPhase,
-    /// How long after its order that was decided, in milliseconds.
+    /// Time from the order to this decision, in milliseconds.
     pub elapsed_millis: u64,
 }
--- a/crates/decide/src/rollout/rollout_run.rs
+++ b/crates/decide/src/rollout/rollout_run.rs
@@ -1,42 +1,43 @@
-//! One roll-out as a VM knows it, and what the VM that decides does next.
+//! State of one rollout at a VM, and the next step of the VM that decides.
 //!
-//! Invariant: the new version gets more than the tested share only after its answers were found no worse, and nothing once
-//! they were found worse. A concluded roll-out stays concluded.
+//! Invariant: the new version gets more than the canary share only after its answers were found no worse, and
+//! nothing once they were found worse. A concluded rollout stays concluded.
 
 use crate::{ExposureTerms, RolloutEvidence, RolloutOrder, RolloutPhase, RolloutRecord, StorePosition};
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 
-/// Part of its time for which a roll-out tests: a fault may begin late.
-const TESTING_PART: f64 = 0.65;
-/// Part of its time after which all new requests move; what is left is for requests that run at the old version.
-const MOVING_PART: f64 = 0.75;
-/// It is concluded so long before its time is over at the latest, in milliseconds: VMs learn of an order with a delay, and
-/// the conclusion must reach the store.
-const CONCLUDE_MILLIS: u64 = 1_200;
-/// The same as a part of its time, where that is less.
-const CONCLUDE_PART: u64 = 10;
-/// All VMs in touch know of a phase after this long, in milliseconds.
-const KNOWN_MILLIS: u64 = 1_000;
+/// Fraction of the rollout's duration that is used for testing: a fault may begin late.
+const TESTING_FRACTION: f64 = 0.65;
+/// Fraction of the rollout's duration after which all new requests go to the new version; the remainder is
+/// for requests that still run at the old one.
+const MOVING_START_FRACTION: f64 = 0.75;
+/// Time between the latest conclusion of a rollout and the end of its duration: VMs receive an order with a
+/// delay, and the conclusion must reach the store.
+const CONCLUDE_MARGIN_MILLIS: u64 = 1_200;
+/// Bound of that time for short rollouts, as a divisor of the duration.
+const CONCLUDE_DIVISOR: u64 = 10;
+/// Time after which all reachable VMs have received a phase.
+const PROPAGATION_DELAY_MILLIS: u64 = 1_000;
 
-/// Why a roll-out goes on or ends.
+/// Reason for the next phase of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutReason {
     /// The new version answers no worse.
     Good,
     /// The new version answers worse.
     Bad,
-    /// Too few of its answers have come in the time that the order gives.
+    /// Too few of its answers have arrived in the time that the order states.
     Unknown,
     /// All endpoints had the version before the order.
     InPlace,
-    /// The order was taken back.
+    /// The operator withdrew the order.
     Withdrawn,
-    /// The order gives no usable time.
+    /// The order states no usable time.
     NoTime,
 }
 
 impl RolloutReason {
-    /// A phrase for logs.
+    /// Returns the text for logs.
     pub const fn label(self) -> &'static str {
         match self {
             Self::Good => "its answers are no worse",
@@ -49,46 +50,46 @@
     }
 }
 
-/// The next phase, and why.
+/// Next phase of a rollout, and the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RolloutStep {
     /// The phase.
     pub phase: RolloutPhase,
-    /// Why.
+    /// The reason.
     pub reason: RolloutReason,
 }
 
-/// One roll-out.
+/// State of one rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutRun {
-    /// What was ordered.
+    /// The order.
     pub order: RolloutOrder,
-    /// Where in the store's history the order stands.
+    /// Position of the order in the store's history.
     pub position: StorePosition,
-    /// When it was given, as far as this VM knows.
+    /// When the order was given, as estimated by this VM.
     pub since: Moment,
-    /// Since when this VM knows of it.
+    /// When this VM received the order.
     pub known_at: Moment,
-    /// The phase in the store's record; none if that is of another order.
+    /// Phase in the store's record; none if that is of another order.
     pub recorded: Option<RolloutPhase>,
-    /// How far it has come, as the deciding VM wrote it.
+    /// Present phase, as written by the VM that decides.
     pub phase: RolloutPhase,
-    /// When this VM learned of the phase.
+    /// When this VM received the phase.
     pub phase_at: Moment,
     /// Answers of both versions.
     pub evidence: RolloutEvidence,
-    /// Whether the operator took the order back.
+    /// Whether the operator withdrew the order.
     pub is_withdrawn: bool,
     /// Whether this VM has seen an endpoint of another version since the order.
     pub has_others: bool,
-    /// Requests that this VM sent to the new version beyond its share.
+    /// Number of requests that this VM sent to the new version beyond its share.
     pub slack_sent: u64,
-    /// Whether this VM has found the version bad: logged once.
+    /// Whether this VM has found the version bad, which is logged once.
     pub is_suspected: bool,
 }
 
 impl RolloutRun {
-    /// A roll-out that begins.
+    /// Creates the state of a new rollout.
     pub fn new(order: RolloutOrder, position: StorePosition, now: Moment) -> Self {
         Self {
             order,
@@ -106,9 +107,10 @@
         }
     }
 
-    /// Share of the requests that this VM sends to the new version.
+    /// Returns the share of the requests that this VM sends to the new version.
     ///
-    /// A VM that finds the version bad stops by itself: it waits for no decision, and needs no way to the store.
+    /// A VM that finds the version bad stops by itself: it doesn't wait for a decision and needs no
+    /// connection to the store.
     pub fn share(&self, terms: &ExposureTerms) -> f64 {
         match self.phase {
             RolloutPhase::Succeeded => 1.0,
@@ -117,49 +119,50 @@
         }
     }
 
-    /// Takes what the deciding VM wrote; whether that changed the phase.
+    /// Applies a record of the VM that decides; returns whether it changed the phase.
     pub fn apply(&mut self, record: &RolloutRecord, now: Moment) -> bool {
         if record.order != self.position || self.phase.is_concluded() || record.phase == self.phase {
             return false;
         }
-        let begun = Moment(now.0.saturating_sub(record.elapsed_millis * MICROS_PER_MILLI));
-        self.since = self.since.min(begun);
+        let begun_at = Moment(now.0.saturating_sub(record.elapsed_millis * MICROS_PER_MILLI));
+        self.since = self.since.min(begun_at);
         (self.phase, self.phase_at) = (record.phase, now);
         true
     }
 
-    /// How long ago it was ordered, in milliseconds.
+    /// Returns the time since the order, in milliseconds.
     pub fn elapsed_millis(&self, now: Moment) -> u64 {
         now.micros_since(self.since) / MICROS_PER_MILLI
     }
 
-    /// What the deciding VM does next; none if it waits. `old_runs` tells whether requests still run at other versions.
-    pub fn next_step(&self, old_runs: bool, now: Moment) -> Option<RolloutStep> {
+    /// Returns the next step of the VM that decides; none if it waits. `has_old_requests` states whether
+    /// requests still run at other versions.
+    pub fn next_step(&self, has_old_requests: bool, now: Moment) -> Option<RolloutStep> {
         if self.phase.is_concluded() {
             return None;
         }
-        let back = |reason| Some(RolloutStep { phase: RolloutPhase::RolledBack, reason });
-        let good = |phase| Some(RolloutStep { phase, reason: RolloutReason::Good });
-        let Some(duration) = self.order.duration_millis else { return back(RolloutReason::NoTime) };
+        let roll_back = |reason| Some(RolloutStep { phase: RolloutPhase::RolledBack, reason });
+        let advance = |phase| Some(RolloutStep { phase, reason: RolloutReason::Good });
+        let Some(duration) = self.order.duration_millis else { return roll_back(RolloutReason::NoTime) };
         if self.is_withdrawn {
-            return back(RolloutReason::Withdrawn);
+            return roll_back(RolloutReason::Withdrawn);
         }
         if self.evidence.is_bad() {
-            return back(RolloutReason::Bad);
+            return roll_back(RolloutReason::Bad);
         }
         let elapsed = self.elapsed_millis(now);
-        let reached = |part: f64| elapsed as f64 >= duration as f64 * part;
-        let conclude_at = duration.saturating_sub(CONCLUDE_MILLIS.min(duration / CONCLUDE_PART));
+        let reached = |fraction: f64| elapsed as f64 >= duration as f64 * fraction;
+        let conclude_at = duration.saturating_sub(CONCLUDE_MARGIN_MILLIS.min(duration / CONCLUDE_DIVISOR));
         match self.phase {
-            RolloutPhase::Testing if reached(TESTING_PART) && self.evidence.is_enough() => {
-                good(RolloutPhase::Widening)
+            RolloutPhase::Testing if reached(TESTING_FRACTION) && self.evidence.is_enough() => {
+                advance(RolloutPhase::Widening)
             }
-            RolloutPhase::Testing if elapsed >= conclude_at => back(RolloutReason::Unknown),
-            RolloutPhase::Widening if reached(MOVING_PART) => good(RolloutPhase::Moving),
+            RolloutPhase::Testing if elapsed >= conclude_at => roll_back(RolloutReason::Unknown),
+            RolloutPhase::Widening if reached(MOVING_START_FRACTION) => advance(RolloutPhase::Moving),
             RolloutPhase::Moving => {
-                let is_known = now >= self.phase_at.after_millis(KNOWN_MILLIS);
-                let has_moved = is_known && !old_runs;
-                if has_moved || elapsed >= conclude_at { good(RolloutPhase::Succeeded) } else { None }
+                let has_propagated = now >= self.phase_at.after_millis(PROPAGATION_DELAY_MILLIS);
+                let has_moved = has_propagated && !has_old_requests;
+                if has_moved || elapsed >= conclude_at { advance(RolloutPhase::Succeeded) } else { None }
             }
             _ => None,
         }
--- a/crates/decide/src/rollout/version_split.rs
+++ b/crates/decide/src/rollout/version_split.rs
@@ -1,20 +1,21 @@
-//! Which endpoints of a service a request may go to while the service moves to another version.
+//! Endpoints of a service that a request may go to during a rollout.
 
 use crate::{EndpointKey, EndpointRow};
 use std::sync::Arc;
 
-/// The endpoints that one request may go to, by their version.
+/// Set of endpoints that one request may go to, by version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum VersionSplit {
-    /// All.
+    /// All endpoints.
     #[default]
     Any,
-    /// Those of all versions but this one.
+    /// Endpoints of all versions but this one.
     Except(Arc<str>),
-    /// Those of this version.
+    /// Endpoints of this version.
     Only(Arc<str>),
-    /// Those of this version whose [`test_order`](VersionSplit::test_order) is up to a bound: a small share of the requests
-    /// then loads each of a few endpoints as all requests will load all of them, so that a fault under load shows.
+    /// Endpoints of this version with a [`test_order`](VersionSplit::test_order) up to a bound. A small share
+    /// of the requests then loads each of these few endpoints as much as all requests will load all of them,
+    /// so that a fault under load shows.
     Tested(Arc<str>, u64),
 }
 
@@ -25,11 +26,11 @@
             Self::Any => true,
             Self::Except(version) => *row.entry.version != **version,
             Self::Only(version) => *row.entry.version == **version,
-            Self::Tested(version, last) => *row.entry.version == **version && Self::test_order(key) <= *last,
+            Self::Tested(version, max) => *row.entry.version == **version && Self::test_order(key) <= *max,
         }
     }
 
-    /// The order in which endpoints of a version are tested: the same on all VMs.
+    /// Returns the position of an endpoint in the canary order of its version, which is the same on all VMs.
     pub const fn test_order(key: EndpointKey) -> u64 {
         key.0.wrapping_mul(0x9e37_79b9_7f4a_7c15)
     }
