--- a/crates/decide/src/kept/cached_segments.rs
+++ b/crates/decide/src/kept/cached_segments.rs
@@ -1,70 +1,70 @@
-//! Which prompt parts an engine is believed to keep.
+//! Estimate of the prompt segments in an engine's cache.
 //!
-//! Invariant: a part counts only if every part before it is believed kept as well, since an engine
-//! reads on from the first gap. The belief follows what was sent there, in the order of last use,
-//! and forgets beyond the room that running requests leave. It may be wrong: it only ever costs
-//! time, never an answer.
+//! Invariant: a segment counts only if every segment before it is estimated to be cached as well, since an
+//! engine prefills from the first gap on. The estimate follows what was sent to the engine, in the order of
+//! last use, and evicts what exceeds the memory that running requests leave. It may be wrong: that only ever
+//! costs time, never an answer.
 //!
-//! An engine keeps some tens of parts and a VM believes something of each engine: a short list that is searched through
-//! takes a fifth of the memory of a map and its order, and no more time.
+//! An engine caches some tens of segments, and a VM keeps an estimate for each engine: a short list with
+//! linear search takes a fifth of the memory of a map with an order of use, and no more time.
 
 use crate::PromptSegment;
 use crate::salted_key;
 
-/// Parts believed kept, with the least recently used one first to go.
+/// Segments that are estimated to be cached; the least recently used one is evicted first.
 #[derive(Debug, Default)]
 pub struct KeptParts {
     tokens: u64,
-    /// Salted keys and tokens; the part used last comes last.
+    /// Salted keys and tokens, in the order of last use.
     rows: Vec<(u64, u32)>,
 }
 
 impl KeptParts {
-    /// Leading `parts` that are believed kept under the text with the digest `salt`.
+    /// Returns the number of leading `segments` estimated to be cached under the salt with the digest `salt`.
     ///
     /// # Examples
     /// ```
-    /// use spanfold_decide::{KeptParts, PromptPart};
-    /// let parts = [PromptPart { key: 1, tokens: 100 }, PromptPart { key: 2, tokens: 50 }];
-    /// let mut kept = KeptParts::default();
-    /// kept.note(&parts[1..], 7, 1_000);
-    /// assert_eq!(kept.leading(&parts, 7), 0);
-    /// kept.note(&parts, 7, 1_000);
-    /// assert_eq!(kept.leading(&parts, 7), 2);
-    /// assert_eq!(kept.leading(&parts, 8), 0);
+    /// use spanfold_decide::{KeptParts, PromptSegment};
+    /// let segments = [PromptSegment { key: 1, tokens: 100 }, PromptSegment { key: 2, tokens: 50 }];
+    /// let mut cached = KeptParts::default();
+    /// cached.note(&segments[1..], 7, 1_000);
+    /// assert_eq!(cached.leading(&segments, 7), 0);
+    /// cached.note(&segments, 7, 1_000);
+    /// assert_eq!(cached.leading(&segments, 7), 2);
+    /// assert_eq!(cached.leading(&segments, 8), 0);
     /// ```
-    pub fn leading(&self, parts: &[PromptSegment], salt: u64) -> usize {
+    pub fn leading(&self, segments: &[PromptSegment], salt: u64) -> usize {
         if self.rows.is_empty() {
             return 0;
         }
-        let is_kept = |part: &&PromptSegment| {
-            let key = salted_key(part.key, salt);
-            self.rows.iter().any(|(other, _)| *other == key)
+        let is_cached = |segment: &&PromptSegment| {
+            let key = salted_key(segment.key, salt);
+            self.rows.iter().any(|(cached_key, _)| *cached_key == key)
         };
-        parts.iter().take_while(is_kept).count()
+        segments.iter().take_while(is_cached).count()
     }
 
-    /// Notes that `parts` were just used, and forgets what exceeds `room` tokens.
-    pub fn note(&mut self, parts: &[PromptSegment], salt: u64, room: u64) {
-        // The first part is used by most others: it is marked last, so that it goes last.
-        for part in parts.iter().rev() {
-            let key = salted_key(part.key, salt);
-            if let Some(place) = self.rows.iter().position(|(other, _)| *other == key) {
-                let (_, tokens) = self.rows.remove(place);
+    /// Records a use of `segments`, and evicts what exceeds `capacity_tokens`.
+    pub fn note(&mut self, segments: &[PromptSegment], salt: u64, capacity_tokens: u64) {
+        // Most other prompts use the first segment too, so it is marked as used last and evicted last.
+        for segment in segments.iter().rev() {
+            let key = salted_key(segment.key, salt);
+            if let Some(index) = self.rows.iter().position(|(cached_key, _)| *cached_key == key) {
+                let (_, tokens) = self.rows.remove(index);
                 self.tokens -= u64::from(tokens);
             }
-            self.rows.push((key, part.tokens));
-            self.tokens += u64::from(part.tokens);
+            self.rows.push((key, segment.tokens));
+            self.tokens += u64::from(segment.tokens);
         }
-        let mut gone = 0;
-        while self.tokens > room && gone < self.rows.len() {
-            self.tokens -= u64::from(self.rows[gone].1);
-            gone += 1;
+        let mut evicted = 0;
+        while self.tokens > capacity_tokens && evicted < self.rows.len() {
+            self.tokens -= u64::from(self.rows[evicted].1);
+            evicted += 1;
         }
-        self.rows.drain(..gone);
+        self.rows.drain(..evicted);
     }
 
-    /// Forgets everything, as after a restart or a load of weights.
+    /// Discards all segments, as after a restart or a load of weights.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/crates/decide/src/kept/index_reporter.rs
+++ b/crates/decide/src/kept/index_reporter.rs
@@ -1,36 +1,37 @@
-//! Which parts of the stores' books are told to other VMs next.
+//! Selects which parts of the stores' cache indexes are propagated to other VMs next.
 //!
-//! Pattern: a VM that begins to lead has listed dozens of stores, and new weights change the books of all of them at
-//! once; told in one message, that is more than a datagram holds, and it would be lost as a whole. So each message
-//! tells a bounded number of parts, and what is left goes with the next ones.
+//! A VM that becomes a leader has listed dozens of stores, and new weights change the indexes of all of them
+//! at once. In one message that is more than a datagram holds, and it would be lost as a whole. So each
+//! message contains a bounded number of segments, and what remains is sent with the next ones.
 //!
-//! Invariant: a change that was heard is told once, in the order of the stores, and none is dropped for want of
-//! room in a message. Stores without changes are named only when books are due: with 58 stores that takes 1.3 kB
-//! from each of 25 messages a second.
+//! Invariant: each received change is propagated once, in the order of the stores, and none is dropped
+//! because a message is full. Stores without changes are included only when full indexes are due: with 58
+//! stores that takes 1.3 kB in each of 25 messages a second.
 
 use crate::{CacheReport, EndpointKey, FleetTable};
 use spanfold_entity::Moment;
 
-/// Where the telling of books stands.
+/// Progress of the propagation of cache indexes.
 #[derive(Debug, Default)]
 pub struct IndexReporter {
-    /// The store whose changes were told last; the next message goes on behind it.
-    last: EndpointKey,
-    /// Books that were told, whole or in part.
-    books: usize,
+    /// Store whose changes were sent last; the next message continues after it.
+    last_store: EndpointKey,
+    /// Number of indexes that were sent, completely or in part.
+    index_count: usize,
 }
 
-/// What the next message tells.
+/// Contents of the next message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ToldBooks {
-    /// Stores with their changes, and in turn one with parts of its whole book.
+    /// Stores with their changes; one of them, in rotation, with segments of its full index.
     pub rows: Vec<CacheReport>,
-    /// Whether changes are left for another message.
+    /// Whether changes remain for another message.
     pub is_partial: bool,
 }
 
 impl IndexReporter {
-    /// Takes at most `parts_most` parts from what is to be told; all stores are named if a book is due.
+    /// Builds the next message, with at most `max_segments` segments; it includes all stores if a full index
+    /// is due.
     pub fn next(
         &mut self,
         table: &mut FleetTable,
@@ -40,39 +41,39 @@
     ) -> ToldBooks {
         let mut stores: Vec<_> =
             table.stores().filter(|(_, row)| row.is_heard(now)).map(|(store, _)| store).collect();
-        let turn = stores.iter().position(|store| *store > self.last).unwrap_or(0);
-        stores.rotate_left(turn);
-        let mut told = ToldBooks::default();
-        let mut left = max_segments;
+        let offset = stores.iter().position(|store| *store > self.last_store).unwrap_or(0);
+        stores.rotate_left(offset);
+        let mut report = ToldBooks::default();
+        let mut remaining = max_segments;
         for store in &stores {
             let Some(row) = table.store_mut(*store) else { continue };
-            let changes = row.take_untold(*store, left);
-            left -= changes.parts.len();
-            told.is_partial |= row.has_untold();
+            let changes = row.take_unreported(*store, remaining);
+            remaining -= changes.parts.len();
+            report.is_partial |= row.has_unreported();
             if !changes.parts.is_empty() {
-                self.last = *store;
+                self.last_store = *store;
             }
             if is_full_index_due || !changes.parts.is_empty() {
-                told.rows.push(changes);
+                report.rows.push(changes);
             }
         }
-        if is_full_index_due && !told.rows.is_empty() && left > 0 {
-            self.tell_book(table, &mut told, left);
+        if is_full_index_due && !report.rows.is_empty() && remaining > 0 {
+            self.add_index_segments(table, &mut report, remaining);
         }
-        told
+        report
     }
 
-    /// Adds parts of the book whose turn it is to a message that names all stores.
-    fn tell_book(&mut self, table: &mut FleetTable, told: &mut ToldBooks, max_segments: usize) {
-        // In the order of names, whatever the order of this message.
-        told.rows.sort_by_key(|row| row.store);
-        let chosen = self.books % told.rows.len();
-        self.books += 1;
-        let row = &mut told.rows[chosen];
-        if let Some(book) = table.store_mut(row.store) {
-            // Changes come last: they are newer than any part of the book.
+    /// Adds segments of the next store's full index to a message that includes all stores.
+    fn add_index_segments(&mut self, table: &mut FleetTable, report: &mut ToldBooks, max_segments: usize) {
+        // Sorted by key, so that the rotation doesn't depend on the order of this message.
+        report.rows.sort_by_key(|row| row.store);
+        let position = self.index_count % report.rows.len();
+        self.index_count += 1;
+        let row = &mut report.rows[position];
+        if let Some(store_row) = table.store_mut(row.store) {
+            // Changes come last: they are newer than any segment of the index.
             let changes = std::mem::take(&mut row.parts);
-            row.parts = book.next_segments(max_segments);
+            row.parts = store_row.next_segments(max_segments);
             row.parts.extend(changes);
         }
     }
--- a/crates/decide/src/kept/mod.rs
+++ b/crates/decide/src/kept/mod.rs
@@ -1,16 +1,16 @@
-//! What is kept where, and which parts of a prompt move or are saved.
+//! Prompt cache: which engine or store contains which segments, and which of them are transferred or saved.
 
 mod cache_report;
+mod cached_segments;
 mod index_reporter;
-mod kept_parts;
 mod outdated_segments;
 mod poll_schedule;
 mod store_row;
 mod transfer_plan;
 
 pub use cache_report::CacheReport;
+pub use cached_segments::KeptParts;
 pub use index_reporter::{IndexReporter, ToldBooks};
-pub use kept_parts::KeptParts;
 pub use outdated_segments::outdated_segments;
 pub use poll_schedule::PollSchedule;
 pub use store_row::{StoreRow, salted_key};
--- a/crates/decide/src/kept/outdated_segments.rs
+++ b/crates/decide/src/kept/outdated_segments.rs
@@ -1,37 +1,39 @@
-//! Which parts of a store's listing were made by weights that are gone.
+//! Selects the segments in a store's listing that were computed with outdated weights.
 //!
-//! Invariant: a part whose newer copy stands in the same store is left alone until that copy goes,
-//! too. Moves of the newer copy may be under way, and whether a store tells the copies of one part
-//! apart while it frees one of them is not said by its protocol; the room lost is small, because
-//! freeing comes soon after a change of weights.
+//! Invariant: a segment with a newer copy in the same store is not released before that copy is gone, too.
+//! Transfers of the newer copy may be under way, and the protocol doesn't state whether a store distinguishes
+//! the copies of one segment while it releases one of them. Little space is lost, because releases follow
+//! soon after a change of weights.
 
 use crate::CacheUpdate;
 use crate::salt_version;
 use std::collections::HashSet;
 
-/// Salts and parts of `model` in a listing that weights older than `version` made.
+/// Returns the salts and segments of `model` in a listing that were computed with weights older than
+/// `version`.
 ///
 /// # Examples
 /// ```
-/// use spanfold_decide::{KeptChange, KeptNews, old_parts};
-/// let part = |salt: &str| KeptChange { salt: salt.into(), part: 7, part_text: "7".into(), tokens: 9 };
-/// let news = KeptNews { changes: vec![part("shared.m.1")], ..KeptNews::default() };
-/// assert_eq!(old_parts(&news, "m", 2), [("shared.m.1".to_owned(), "7".to_owned())]);
-/// assert!(old_parts(&news, "m", 1).is_empty());
+/// use spanfold_decide::{CacheChange, CacheUpdate, outdated_segments};
+/// let change = |salt: &str| CacheChange { salt: salt.into(), part: 7, segment_text: "7".into(), tokens: 9 };
+/// let update = CacheUpdate { changes: vec![change("shared.m.1")], ..CacheUpdate::default() };
+/// assert_eq!(outdated_segments(&update, "m", 2), [("shared.m.1".to_owned(), "7".to_owned())]);
+/// assert!(outdated_segments(&update, "m", 1).is_empty());
 /// ```
-pub fn outdated_segments(news: &CacheUpdate, model: &str, version: u64) -> Vec<(String, String)> {
-    let made_by = |salt: &str| salt_version(salt).filter(|(other, _)| *other == model).map(|(_, made)| made);
-    let is_old = |salt: &str| made_by(salt).is_some_and(|made| made < version);
-    let renewed: HashSet<&str> = news
+pub fn outdated_segments(update: &CacheUpdate, model: &str, version: u64) -> Vec<(String, String)> {
+    let version_of = |salt: &str| salt_version(salt).filter(|(name, _)| *name == model).map(|(_, used)| used);
+    let is_outdated = |salt: &str| version_of(salt).is_some_and(|used| used < version);
+    let renewed: HashSet<&str> = update
         .changes
         .iter()
-        .filter(|change| !is_old(&change.salt))
+        .filter(|change| !is_outdated(&change.salt))
         .map(|change| change.segment_text.as_str())
         .collect();
-    let held = news.changes.iter().map(|change| (&change.salt, &change.segment_text));
-    let broken = news.broken.iter().map(|(salt, part)| (salt, part));
-    held.chain(broken)
-        .filter(|(salt, part)| is_old(salt) && !renewed.contains(part.as_str()))
-        .map(|(salt, part)| (salt.clone(), part.clone()))
+    let listed = update.changes.iter().map(|change| (&change.salt, &change.segment_text));
+    let broken = update.broken.iter().map(|(salt, segment)| (salt, segment));
+    listed
+        .chain(broken)
+        .filter(|(salt, segment)| is_outdated(salt) && !renewed.contains(segment.as_str()))
+        .map(|(salt, segment)| (salt.clone(), segment.clone()))
         .collect()
 }
--- a/crates/decide/src/kept/poll_schedule.rs
+++ b/crates/decide/src/kept/poll_schedule.rs
@@ -1,52 +1,53 @@
-//! How often the lead of a data centre asks a store of kept cache for news.
+//! Schedule by which the leader of a data centre polls a cache store for updates.
 //!
-//! Invariant: the calls that all leads have waiting at one store stay below the number that it holds
-//! back at once; it refuses more, and refusals are priced. Each lead therefore rests between its
-//! calls for longer the more data centres there are.
+//! Invariant: the long polls of all leaders that wait at one store stay below the number that it allows at
+//! once; it refuses more, and refusals are charged. So the delay between a leader's calls grows with the
+//! number of data centres.
 
-/// A call that is held back for less is priced, in milliseconds: 200 by the users' pages, and calls of
-/// 200 were priced, too (small twin of a grown day: 6,774 of them).
-const HELD_LEAST_MILLIS: u64 = 250;
-/// How long a call is held back where few ask, in milliseconds.
-const HELD_MOST_MILLIS: u64 = 400;
-/// Part of the calls that a store holds back which is used: leads do not ask evenly.
+/// Shortest long poll. Shorter calls are charged: 200 ms is the documented bound, but calls of 200 ms were
+/// charged, too (6,774 of them in a small replica of a grown day).
+const MIN_LONG_POLL_MILLIS: u64 = 250;
+/// Duration of a long poll where few leaders poll.
+const MAX_LONG_POLL_MILLIS: u64 = 400;
+/// Fraction of a store's allowed long polls that is used, since the leaders' calls are not evenly
+/// distributed.
 const USABLE_FRACTION: f64 = 0.6;
-/// Shortest rest after a call, in milliseconds, so that one call brings several changes.
-const REST_LEAST_MILLIS: u64 = 100;
-/// What a store told counts for so many rounds, in case one fails.
-const ROUNDS: u64 = 2;
-/// And this much longer, in milliseconds.
-const COUNTS_EXTRA_MILLIS: u64 = 800;
+/// Minimum delay after a call, so that one call returns several changes.
+const MIN_DELAY_MILLIS: u64 = 100;
+/// Number of poll rounds for which a store's report is valid, in case one of them fails.
+const LIFETIME_ROUNDS: u64 = 2;
+/// Additional time for which a store's report is valid.
+const LIFETIME_MARGIN_MILLIS: u64 = 800;
 
-/// How a lead asks one store for news.
+/// Times for one leader's polls of one store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollSchedule {
-    /// How long a call may be held back, in milliseconds.
+    /// Duration of a long poll, in milliseconds.
     pub held_millis: u64,
-    /// Rest after a call, in milliseconds.
+    /// Delay after a call, in milliseconds.
     pub rest_millis: u64,
 }
 
 impl PollSchedule {
-    /// The rhythm for `askers` leads at a store that holds `calls` back at once.
+    /// Returns the schedule for `leaders` leaders at a store that allows `max_calls` long polls at once.
     ///
     /// # Examples
     /// ```
-    /// use spanfold_decide::NewsRhythm;
-    /// assert_eq!(NewsRhythm::new(9, 12), NewsRhythm { held_millis: 400, rest_millis: 101 });
-    /// assert_eq!(NewsRhythm::new(91, 12), NewsRhythm { held_millis: 250, rest_millis: 2_910 });
+    /// use spanfold_decide::PollSchedule;
+    /// assert_eq!(PollSchedule::new(9, 12), PollSchedule { held_millis: 400, rest_millis: 101 });
+    /// assert_eq!(PollSchedule::new(91, 12), PollSchedule { held_millis: 250, rest_millis: 2_910 });
     /// ```
-    pub fn new(askers: usize, calls: u32) -> Self {
-        let used = (f64::from(calls) * USABLE_FRACTION).max(1.0);
-        let crowded = askers as f64 > 2.0 * used;
-        let held_millis = if crowded { HELD_LEAST_MILLIS } else { HELD_MOST_MILLIS };
-        let round = askers as f64 * held_millis as f64 / used;
-        let rest_millis = (round.ceil() as u64).saturating_sub(held_millis).max(REST_LEAST_MILLIS);
+    pub fn new(leaders: usize, max_calls: u32) -> Self {
+        let used_calls = (f64::from(max_calls) * USABLE_FRACTION).max(1.0);
+        let is_crowded = leaders as f64 > 2.0 * used_calls;
+        let held_millis = if is_crowded { MIN_LONG_POLL_MILLIS } else { MAX_LONG_POLL_MILLIS };
+        let round_millis = leaders as f64 * held_millis as f64 / used_calls;
+        let rest_millis = (round_millis.ceil() as u64).saturating_sub(held_millis).max(MIN_DELAY_MILLIS);
         Self { held_millis, rest_millis }
     }
 
-    /// How long what a store told counts, in milliseconds.
+    /// Returns how long a report of the store is valid, in milliseconds.
     pub const fn counts_millis(self) -> u64 {
-        (self.held_millis + self.rest_millis) * ROUNDS + COUNTS_EXTRA_MILLIS
+        (self.held_millis + self.rest_millis) * LIFETIME_ROUNDS + LIFETIME_MARGIN_MILLIS
     }
 }
--- a/crates/decide/src/kept/store_row.rs
+++ b/crates/decide/src/kept/store_row.rs
@@ -1,321 +1,346 @@
-//! What this VM knows of one store of kept cache: what it holds, its room, its link.
+//! State of one cache store at this VM: its contents, its free space, its link.
 //!
-//! Invariant: a part counts as held only after the store itself told so in its present
-//! incarnation, which it does once a part is whole. The store drops nothing by itself; room is
-//! estimated from what it told and from what was sent there and has not been told yet.
+//! Invariant: a segment counts as stored only after the store itself has reported it in its present
+//! incarnation, which it does once a segment is complete. The store evicts nothing by itself. Its free space
+//! is estimated from its reports and from the segments that were sent there and have not been reported yet.
 
 use crate::CacheReport;
 use crate::{CacheUpdate, EndpointKey, LoadSource, StoreSpec, VmKey, short_digest};
 use spanfold_entity::Moment;
 use std::collections::HashMap;
 
-/// A part that was sent and is not told of by then is believed lost, in milliseconds.
-const ASKED_MILLIS: u64 = 4_000;
-/// Part of the room that is left free, because it is only estimated.
-const SPARE_PART: f64 = 0.03;
-/// Moves between data centres take this many times as long (the users' pages).
-const CROSS_FACTOR: f64 = 2.0;
-/// Changes that wait to be told at most; whole books make up for those beyond them.
-const UNTOLD_MOST: usize = 1_024;
-/// Weight of the newest sample of the link's pace.
-const PACE_WEIGHT: f64 = 0.3;
-/// Part of the distance to the stated pace that is forgotten in each sweep: a link that was slow is
-/// tried again after some seconds.
-const PACE_RELAX: f64 = 0.06;
-/// A pace counts for this long after the move that showed it, in milliseconds, here and at peers.
-const PACE_COUNTS_MILLIS: u64 = 1_500;
-/// Slowest pace that is believed, as a multiple of the stated one.
-const PACE_MOST: f64 = 12.0;
-
-/// What another VM told of a store's link.
+/// Time after which a segment that was sent and has not been reported counts as lost.
+const SAVE_TIMEOUT_MILLIS: u64 = 4_000;
+/// Fraction of the space that is left free, because the free space is only an estimate.
+const SPARE_FRACTION: f64 = 0.03;
+/// Documented factor for the time of transfers between data centres.
+const CROSS_DATA_CENTRE_FACTOR: f64 = 2.0;
+/// Maximum number of changes that wait for propagation; full indexes make up for those beyond it.
+const MAX_UNREPORTED: usize = 1_024;
+/// Weight of the newest sample of the link's slowdown.
+const SLOWDOWN_WEIGHT: f64 = 0.3;
+/// Fraction of the distance to the nominal speed by which the slowdown decays in each sweep: a link that was
+/// slow is tried again after some seconds.
+const SLOWDOWN_DECAY: f64 = 0.06;
+/// Time for which a measured slowdown is valid after the transfer that showed it, here and at peers.
+const SLOWDOWN_LIFETIME_MILLIS: u64 = 1_500;
+/// Maximum slowdown, as a multiple of the nominal transfer time.
+const MAX_SLOWDOWN: f64 = 12.0;
+
+/// Report of another VM on a store's link.
 #[derive(Clone, Copy, Debug)]
-struct PeerMoves {
-    /// When the moves that it asked for will be over.
-    until: Moment,
-    /// The pace that it sees, if moves have shown it lately, and until when that counts.
-    pace: Option<f64>,
-    pace_until: Moment,
+struct PeerTransfers {
+    /// When the transfers that it requested end.
+    end_at: Moment,
+    /// Slowdown that its recent transfers have shown, if any, and until when that is valid.
+    slowdown: Option<f64>,
+    slowdown_deadline: Moment,
 }
 
-/// A part that is on its way to a store.
+/// Segment that is being sent to a store.
 #[derive(Clone, Copy, Debug)]
-struct AskedPart {
+struct PendingSave {
     tokens: u32,
-    /// It is believed lost if the store has not told it by then.
-    until: Moment,
-    /// Whether a request of this VM sends it.
+    /// When it counts as lost unless the store has reported it.
+    deadline: Moment,
+    /// Whether it is sent for a request of this VM.
     is_own: bool,
 }
 
-/// One store.
+/// State of one store.
 #[derive(Debug)]
 pub struct StoreRow {
-    /// What the configuration says of it.
+    /// Its configuration.
     pub spec: StoreSpec,
     incarnation: u64,
-    parts: HashMap<u64, u32>,
+    segments: HashMap<u64, u32>,
     used_tokens: u64,
-    /// Changes that the other VMs of the data centre have not been told.
-    untold: HashMap<u64, u32>,
-    /// How far the book has been told, in the order of its parts.
-    told_to: usize,
-    asked: HashMap<u64, AskedPart>,
-    asked_tokens: u64,
-    /// Until when what it told last counts.
-    heard_until: Moment,
-    /// When the moves that this VM asked for will be over.
-    own_until: Moment,
-    /// The same of other VMs, as they told.
-    peers: HashMap<LoadSource, PeerMoves>,
-    pace: f64,
-    /// When a move showed the pace last; none yet if zero.
-    pace_at: Moment,
+    /// Changes that have not been propagated to the other VMs of the data centre.
+    unreported: HashMap<u64, u32>,
+    /// Position in the index up to which it has been propagated, in the order of its segments.
+    index_cursor: usize,
+    pending_saves: HashMap<u64, PendingSave>,
+    pending_tokens: u64,
+    /// Until when its last report is valid.
+    reachable_until: Moment,
+    /// When the transfers that this VM requested end.
+    own_transfers_end_at: Moment,
+    /// The same for other VMs, by their reports.
+    peers: HashMap<LoadSource, PeerTransfers>,
+    slowdown: f64,
+    /// When a transfer last showed the slowdown; zero if none has yet.
+    slowdown_at: Moment,
 }
 
-/// Identity of a part under the text that it is shared under.
-pub fn salted_key(part: u64, salt_digest: u64) -> u64 {
-    part ^ salt_digest
+/// Returns the key of a segment under the cache salt with this digest.
+pub fn salted_key(segment: u64, salt_digest: u64) -> u64 {
+    segment ^ salt_digest
 }
 
 impl StoreRow {
-    /// A store of which nothing is known yet.
+    /// Creates the state of a store that has reported nothing yet.
     pub fn new(spec: StoreSpec) -> Self {
         Self {
             spec,
             incarnation: 0,
-            parts: HashMap::new(),
+            segments: HashMap::new(),
             used_tokens: 0,
-            untold: HashMap::new(),
-            told_to: 0,
-            asked: HashMap::new(),
-            asked_tokens: 0,
-            heard_until: Moment(0),
-            own_until: Moment(0),
+            unreported: HashMap::new(),
+            index_cursor: 0,
+            pending_saves: HashMap::new(),
+            pending_tokens: 0,
+            reachable_until: Moment(0),
+            own_transfers_end_at: Moment(0),
             peers: HashMap::new(),
-            pace: 1.0,
-            pace_at: Moment(0),
+            slowdown: 1.0,
+            slowdown_at: Moment(0),
         }
     }
 
-    /// Incarnation that the book belongs to; zero before the first news.
+    /// Returns the incarnation that the index belongs to; zero before the first update.
     pub const fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Takes all that the store holds; it counts until the given moment.
-    pub fn replace(&mut self, news: &CacheUpdate, until: Moment) {
-        self.parts.clear();
+    /// Replaces the contents by a full listing, which is valid until the given moment.
+    pub fn replace(&mut self, update: &CacheUpdate, reachable_until: Moment) {
+        self.segments.clear();
         self.used_tokens = 0;
-        if self.incarnation != news.incarnation {
-            self.asked.clear();
-            self.asked_tokens = 0;
+        if self.incarnation != update.incarnation {
+            self.pending_saves.clear();
+            self.pending_tokens = 0;
         }
-        self.incarnation = news.incarnation;
-        self.apply(news, until);
+        self.incarnation = update.incarnation;
+        self.apply(update, reachable_until);
     }
 
-    /// Takes changes, which must be of the present incarnation and follow the last ones; they count
+    /// Applies changes, which must be of the present incarnation and follow the last ones; they are valid
     /// until the given moment.
-    pub fn apply(&mut self, news: &CacheUpdate, until: Moment) {
-        self.heard_until = until;
-        for change in &news.changes {
+    pub fn apply(&mut self, update: &CacheUpdate, reachable_until: Moment) {
+        self.reachable_until = reachable_until;
+        for change in &update.changes {
             let key = salted_key(change.part, short_digest(&change.salt));
-            self.set_part(key, change.tokens);
-            if self.untold.len() < UNTOLD_MOST {
-                self.untold.insert(key, change.tokens);
+            self.set_segment(key, change.tokens);
+            if self.unreported.len() < MAX_UNREPORTED {
+                self.unreported.insert(key, change.tokens);
             }
         }
     }
 
-    fn set_part(&mut self, key: u64, tokens: u32) {
-        if let Some(asked) = self.asked.remove(&key) {
-            self.asked_tokens -= u64::from(asked.tokens);
+    fn set_segment(&mut self, key: u64, tokens: u32) {
+        if let Some(save) = self.pending_saves.remove(&key) {
+            self.pending_tokens -= u64::from(save.tokens);
         }
-        let before = if tokens == 0 { self.parts.remove(&key) } else { self.parts.insert(key, tokens) };
+        let before = if tokens == 0 { self.segments.remove(&key) } else { self.segments.insert(key, tokens) };
         self.used_tokens += u64::from(tokens);
         self.used_tokens = self.used_tokens.saturating_sub(u64::from(before.unwrap_or(0)));
     }
 
-    /// What was heard and has not been told to other VMs, with at most so many parts.
-    pub fn take_untold(&mut self, store: EndpointKey, most: usize) -> CacheReport {
-        let parts = if self.untold.len() <= most {
-            std::mem::take(&mut self.untold).into_iter().collect()
+    /// Takes at most `limit` changed segments that have not been propagated to other VMs.
+    pub fn take_unreported(&mut self, store: EndpointKey, limit: usize) -> CacheReport {
+        let parts = if self.unreported.len() <= limit {
+            std::mem::take(&mut self.unreported).into_iter().collect()
         } else {
-            let some: Vec<_> = self.untold.iter().take(most).map(|(key, tokens)| (*key, *tokens)).collect();
-            for (key, _) in &some {
-                self.untold.remove(key);
+            let taken: Vec<_> =
+                self.unreported.iter().take(limit).map(|(key, tokens)| (*key, *tokens)).collect();
+            for (key, _) in &taken {
+                self.unreported.remove(key);
             }
-            some
+            taken
         };
         CacheReport { store, incarnation: self.incarnation, used_tokens: self.used_tokens, parts }
     }
 
-    /// Whether something was heard that other VMs have not been told.
-    pub fn has_untold(&self) -> bool {
-        !self.untold.is_empty()
+    /// Whether there are changes that have not been propagated to other VMs.
+    pub fn has_unreported(&self) -> bool {
+        !self.unreported.is_empty()
     }
 
-    /// At most so many of the parts held, going on where the last ones ended.
-    pub fn next_segments(&mut self, most: usize) -> Vec<(u64, u32)> {
-        let from = self.told_to % self.parts.len().max(1);
-        let count = most.min(self.parts.len());
-        self.told_to = from + count;
-        let turned = self.parts.iter().cycle().skip(from);
-        turned.take(count).map(|(key, tokens)| (*key, *tokens)).collect()
+    /// Returns at most `limit` of the stored segments, continuing where the last call ended.
+    pub fn next_segments(&mut self, limit: usize) -> Vec<(u64, u32)> {
+        let from = self.index_cursor % self.segments.len().max(1);
+        let count = limit.min(self.segments.len());
+        self.index_cursor = from + count;
+        let rotated = self.segments.iter().cycle().skip(from);
+        rotated.take(count).map(|(key, tokens)| (*key, *tokens)).collect()
     }
 
-    /// Takes what another VM heard from the store.
-    pub fn apply_cache_report(&mut self, told: &CacheReport, until: Moment) {
-        if self.incarnation != told.incarnation {
-            self.parts.clear();
-            self.asked.clear();
-            self.asked_tokens = 0;
-            self.incarnation = told.incarnation;
+    /// Applies another VM's report on the store.
+    pub fn apply_cache_report(&mut self, report: &CacheReport, reachable_until: Moment) {
+        if self.incarnation != report.incarnation {
+            self.segments.clear();
+            self.pending_saves.clear();
+            self.pending_tokens = 0;
+            self.incarnation = report.incarnation;
         }
-        self.heard_until = until;
-        for (key, tokens) in &told.parts {
-            self.set_part(*key, *tokens);
+        self.reachable_until = reachable_until;
+        for (key, tokens) in &report.parts {
+            self.set_segment(*key, *tokens);
         }
-        self.used_tokens = told.used_tokens;
+        self.used_tokens = report.used_tokens;
     }
 
-    /// Notes that the store cannot be reached: nothing is fetched until it is heard again.
+    /// Marks the store as unreachable: nothing is fetched until it reports again.
     pub fn lose(&mut self) {
-        self.heard_until = Moment(0);
+        self.reachable_until = Moment(0);
     }
 
-    /// Whether the store was heard a short while ago.
+    /// Whether the store's last report is still valid.
     pub fn is_heard(&self, now: Moment) -> bool {
-        now < self.heard_until
+        now < self.reachable_until
     }
 
-    /// Whether it holds the whole of a part of `tokens`.
+    /// Whether it contains all `tokens` of a segment.
     pub fn holds(&self, key: u64, tokens: u32, now: Moment) -> bool {
-        self.is_heard(now) && self.parts.get(&key).is_some_and(|held| *held >= tokens)
+        self.is_heard(now) && self.segments.get(&key).is_some_and(|held| *held >= tokens)
     }
 
-    /// Whether the part is held, or was sent there a short while ago.
+    /// Whether the segment is stored, or is being sent for a request of this VM.
     pub fn has_or_awaits(&self, key: u64, now: Moment) -> bool {
-        self.parts.contains_key(&key)
-            || self.asked.get(&key).is_some_and(|asked| asked.is_own && now < asked.until)
+        self.segments.contains_key(&key)
+            || self.pending_saves.get(&key).is_some_and(|save| save.is_own && now < save.deadline)
     }
 
-    /// Whether a part of `tokens` fits beside what is there and on its way.
+    /// Whether a segment of `tokens` fits beside the stored and the pending ones.
     pub fn has_capacity(&self, tokens: u32) -> bool {
-        let taken = self.used_tokens + self.asked_tokens + u64::from(tokens);
-        taken as f64 <= self.spec.tokens as f64 * (1.0 - SPARE_PART)
+        let used = self.used_tokens + self.pending_tokens + u64::from(tokens);
+        used as f64 <= self.spec.tokens as f64 * (1.0 - SPARE_FRACTION)
     }
 
-    /// Notes that a part is being sent there for a request of this VM.
+    /// Records that a segment is being sent there for a request of this VM.
     pub fn ask(&mut self, key: u64, tokens: u32, now: Moment) {
-        self.note_asked(key, AskedPart { tokens, until: now.after_millis(ASKED_MILLIS), is_own: true });
+        self.record_pending(
+            key,
+            PendingSave { tokens, deadline: now.after_millis(SAVE_TIMEOUT_MILLIS), is_own: true },
+        );
     }
 
-    /// Notes that a part is being sent there for a request of another VM: it takes room, but whether the
-    /// engine there needed to send it is not known here.
+    /// Records that a segment is being sent there for a request of another VM: it takes space, but this VM
+    /// can't tell whether the engine there needed to send it.
     pub fn record_remote_request(&mut self, key: u64, tokens: u32, now: Moment) {
-        if !self.asked.get(&key).is_some_and(|asked| asked.is_own) {
-            self.note_asked(key, AskedPart { tokens, until: now.after_millis(ASKED_MILLIS), is_own: false });
+        if !self.pending_saves.get(&key).is_some_and(|save| save.is_own) {
+            self.record_pending(
+                key,
+                PendingSave { tokens, deadline: now.after_millis(SAVE_TIMEOUT_MILLIS), is_own: false },
+            );
         }
     }
 
-    fn note_asked(&mut self, key: u64, asked: AskedPart) {
-        if let Some(before) = self.asked.insert(key, asked) {
-            self.asked_tokens -= u64::from(before.tokens);
+    fn record_pending(&mut self, key: u64, save: PendingSave) {
+        if let Some(before) = self.pending_saves.insert(key, save) {
+            self.pending_tokens -= u64::from(before.tokens);
         }
-        self.asked_tokens += u64::from(asked.tokens);
+        self.pending_tokens += u64::from(save.tokens);
     }
 
-    /// Forgets parts that were sent and never told of.
+    /// Discards segments that were sent and never reported.
     pub fn sweep(&mut self, now: Moment) {
         let mut lost = 0;
-        self.asked.retain(|_, asked| {
-            let waits = now < asked.until;
-            lost += if waits { 0 } else { u64::from(asked.tokens) };
-            waits
+        self.pending_saves.retain(|_, save| {
+            let is_pending = now < save.deadline;
+            lost += if is_pending { 0 } else { u64::from(save.tokens) };
+            is_pending
         });
-        self.asked_tokens -= lost;
-        self.pace += PACE_RELAX * (1.0 - self.pace);
+        self.pending_tokens -= lost;
+        self.slowdown += SLOWDOWN_DECAY * (1.0 - self.slowdown);
     }
 
-    /// Expected time of a move of `tokens` to an engine, in microseconds, waiting included.
+    /// Returns the expected time of a transfer of `tokens` to an engine, in microseconds, including waiting.
     pub fn transfer_time_micros(&self, tokens: u64, data_centre: &str, now: Moment) -> f64 {
-        let peers: u64 = self.peers.values().map(|moves| moves.until.micros_since(now)).sum();
-        let waiting = self.own_until.micros_since(now) + peers;
-        waiting as f64 + self.spec.first_millis * 1_000.0 + self.link_micros(tokens, data_centre, now)
+        let peer_micros: u64 = self.peers.values().map(|transfers| transfers.end_at.micros_since(now)).sum();
+        let waiting_micros = self.own_transfers_end_at.micros_since(now) + peer_micros;
+        waiting_micros as f64 + self.spec.first_millis * 1_000.0 + self.link_micros(tokens, data_centre, now)
     }
 
-    /// Time that a move of `tokens` takes the link, in microseconds.
+    /// Returns the time for which a transfer of `tokens` occupies the link, in microseconds.
     fn link_micros(&self, tokens: u64, data_centre: &str, now: Moment) -> f64 {
-        let cross = if self.spec.data_centre == data_centre { 1.0 } else { CROSS_FACTOR };
+        let cross_factor = if self.spec.data_centre == data_centre { 1.0 } else { CROSS_DATA_CENTRE_FACTOR };
         let token_micros = self.spec.token_bytes as f64 * 8.0 / self.spec.link_mbps.max(1.0);
-        tokens as f64 * cross * token_micros * self.pace(now)
+        tokens as f64 * cross_factor * token_micros * self.slowdown(now)
     }
 
-    /// The link's pace as a multiple of the stated one: the mean of what those saw whose moves have shown
-    /// it lately, this VM included; if there are none, what this VM saw before, relaxing.
-    pub fn pace(&self, now: Moment) -> f64 {
-        let told = self.peers.values().filter(|moves| now < moves.pace_until).filter_map(|moves| moves.pace);
-        mean(self.own_pace(now).into_iter().chain(told)).unwrap_or(self.pace)
+    /// Returns the link's slowdown as a multiple of the nominal time: the mean over the VMs, this one
+    /// included, whose transfers have shown it recently; without any, this VM's last value, which decays.
+    pub fn slowdown(&self, now: Moment) -> f64 {
+        let reported = self
+            .peers
+            .values()
+            .filter(|transfers| now < transfers.slowdown_deadline)
+            .filter_map(|transfers| transfers.slowdown);
+        mean(self.own_slowdown(now).into_iter().chain(reported)).unwrap_or(self.slowdown)
     }
 
-    /// The pace as this VM's own moves have shown it lately.
-    fn own_pace(&self, now: Moment) -> Option<f64> {
-        let counts = self.pace_at.0 != 0 && now < self.pace_at.after_millis(PACE_COUNTS_MILLIS);
-        counts.then_some(self.pace)
+    /// Returns the slowdown that this VM's recent transfers have shown.
+    fn own_slowdown(&self, now: Moment) -> Option<f64> {
+        let is_current =
+            self.slowdown_at.0 != 0 && now < self.slowdown_at.after_millis(SLOWDOWN_LIFETIME_MILLIS);
+        is_current.then_some(self.slowdown)
     }
 
-    /// Learns the link's pace from a move that took `taken` where `expected` was expected.
+    /// Updates the link's slowdown after a transfer, from the time taken and the time expected.
     pub fn record_slowdown(&mut self, taken_micros: f64, expected_micros: f64, now: Moment) {
-        // What was expected rested on the pace that all saw; so does what is learned, if nothing was
-        // seen here lately.
-        let believed = self.pace(now);
-        let sample = (believed * taken_micros / expected_micros.max(1.0)).clamp(1.0, PACE_MOST);
-        let before = self.own_pace(now).unwrap_or(believed);
-        self.pace = before + PACE_WEIGHT * (sample - before);
-        self.pace_at = now;
+        // The expected time was based on the slowdown that all VMs have measured, so that is also the
+        // previous value if this VM has measured none recently.
+        let estimate = self.slowdown(now);
+        let sample = (estimate * taken_micros / expected_micros.max(1.0)).clamp(1.0, MAX_SLOWDOWN);
+        let previous = self.own_slowdown(now).unwrap_or(estimate);
+        self.slowdown = previous + SLOWDOWN_WEIGHT * (sample - previous);
+        self.slowdown_at = now;
     }
 
-    /// Notes that a move of `tokens` to an engine begins.
+    /// Records that a transfer of `tokens` to an engine begins.
     pub fn take(&mut self, tokens: u64, data_centre: &str, now: Moment) {
-        let micros = self.link_micros(tokens, data_centre, now) as u64;
-        self.own_until = self.own_until.max(now).after_micros(micros);
+        let transfer_micros = self.link_micros(tokens, data_centre, now) as u64;
+        self.own_transfers_end_at = self.own_transfers_end_at.max(now).after_micros(transfer_micros);
     }
 
-    /// How long the moves of this VM and of the VMs that `counts` names still take, in microseconds, and
-    /// the mean of the paces that their moves have shown lately.
-    pub fn moves_of(&self, counts: impl Fn(VmKey) -> bool, now: Moment) -> (u64, Option<f64>) {
-        let counted = self.moves_where(|source| matches!(source, LoadSource::Vm(vm) if counts(vm)));
-        let micros: u64 = counted.iter().map(|moves| moves.until.micros_since(now)).sum();
-        let told = told_paces(&counted, now);
-        (self.own_until.micros_since(now) + micros, mean(self.own_pace(now).into_iter().chain(told)))
+    /// Returns the remaining time of the transfers of this VM and of the VMs that `is_counted` selects, in
+    /// microseconds, and the mean of the slowdowns that their transfers have shown recently.
+    pub fn moves_of(&self, is_counted: impl Fn(VmKey) -> bool, now: Moment) -> (u64, Option<f64>) {
+        let counted = self.transfers_where(|source| matches!(source, LoadSource::Vm(vm) if is_counted(vm)));
+        let micros: u64 = counted.iter().map(|transfers| transfers.end_at.micros_since(now)).sum();
+        let reported = reported_slowdowns(&counted, now);
+        (
+            self.own_transfers_end_at.micros_since(now) + micros,
+            mean(self.own_slowdown(now).into_iter().chain(reported)),
+        )
     }
 
-    /// The same of the VMs of other data centres, as their leads told.
+    /// Returns the same for the VMs of other data centres, by the reports of their leaders.
     pub fn remote_transfers(&self, now: Moment) -> (u64, Option<f64>) {
-        let counted = self.moves_where(|source| matches!(source, LoadSource::DataCentre(_)));
-        let micros = counted.iter().map(|moves| moves.until.micros_since(now)).sum();
-        (micros, mean(told_paces(&counted, now)))
+        let counted = self.transfers_where(|source| matches!(source, LoadSource::DataCentre(_)));
+        let micros = counted.iter().map(|transfers| transfers.end_at.micros_since(now)).sum();
+        (micros, mean(reported_slowdowns(&counted, now)))
     }
 
-    fn moves_where(&self, counts: impl Fn(LoadSource) -> bool) -> Vec<PeerMoves> {
-        self.peers.iter().filter(|(source, _)| counts(**source)).map(|(_, moves)| *moves).collect()
+    fn transfers_where(&self, is_counted: impl Fn(LoadSource) -> bool) -> Vec<PeerTransfers> {
+        self.peers
+            .iter()
+            .filter(|(source, _)| is_counted(**source))
+            .map(|(_, transfers)| *transfers)
+            .collect()
     }
 
-    /// Takes what another VM or data centre says of its moves.
-    pub fn set_peer(&mut self, source: LoadSource, micros: u64, pace: Option<f64>, now: Moment) {
-        let pace_until = now.after_millis(PACE_COUNTS_MILLIS);
-        self.peers.insert(source, PeerMoves { until: now.after_micros(micros), pace, pace_until });
+    /// Applies the report of another VM or data centre on its transfers.
+    pub fn set_peer(&mut self, source: LoadSource, busy_micros: u64, slowdown: Option<f64>, now: Moment) {
+        let slowdown_deadline = now.after_millis(SLOWDOWN_LIFETIME_MILLIS);
+        self.peers.insert(
+            source,
+            PeerTransfers { end_at: now.after_micros(busy_micros), slowdown, slowdown_deadline },
+        );
     }
 
-    /// Notes that another VM or data centre has no moves here.
+    /// Records that another VM or data centre has no transfers here.
     pub(crate) fn clear_peer(&mut self, source: LoadSource) {
         self.peers.remove(&source);
     }
 }
 
-fn told_paces(moves: &[PeerMoves], now: Moment) -> impl Iterator<Item = f64> {
-    moves.iter().filter(move |moves| now < moves.pace_until).filter_map(|moves| moves.pace)
+fn reported_slowdowns(transfers: &[PeerTransfers], now: Moment) -> impl Iterator<Item = f64> {
+    transfers
+        .iter()
+        .filter(move |transfers| now < transfers.slowdown_deadline)
+        .filter_map(|transfers| transfers.slowdown)
 }
 
 fn mean(values: impl Iterator<Item = f64>) -> Option<f64> {
--- a/crates/decide/src/kept/transfer_plan.rs
+++ b/crates/decide/src/kept/transfer_plan.rs
@@ -1,75 +1,78 @@
-//! Which parts of a prompt an engine takes from stores, and which it saves there.
+//! Plans which segments of a prompt an engine fetches from stores, and which it saves there.
 //!
-//! Invariant: a part is taken only from a store that has told it whole, and only if moving it is
-//! expected to take less time than reading it. A part is saved by one request only: it goes to the
-//! fastest store with room, unless a store has it or waits for it. The last part belongs to one
-//! request and is not saved. Nothing is saved outside the prompt's homes; taking a part from there moves it
-//! to an engine, which stands in one.
+//! Invariant: a segment is fetched only from a store that has reported it complete, and only if the transfer
+//! is expected to take less time than prefilling it. A segment is saved by one request only: it goes to the
+//! fastest store with free space, unless a store contains or expects it. The last segment belongs to one
+//! request and is not saved. Nothing is saved outside the prompt's home regions; a fetch from outside
+//! transfers the segment to an engine, which is in one.
 
 use crate::salted_key;
 use crate::{EndpointKey, FleetTable, HomeRegions, PromptSegment, StoreRow};
 use spanfold_entity::Moment;
 
-/// Cost of reading a token again that could have been taken from elsewhere, in microseconds: such
-/// reading is priced, and keeps the engine from others' prompts.
+/// Cost of recomputing a token that could have been fetched, in microseconds: such prefills are charged, and
+/// they delay other prompts at the engine.
 pub(crate) const RECOMPUTE_MICROS_PER_TOKEN: f64 = 100.0;
-/// A move that takes longer than reading is made up to this part of the latency objective: it saves engines the reading
-/// of shared parts, and beyond it answers are late.
-const LONG_MOVE_PART: f64 = 0.45;
+/// Fraction of the latency objective up to which a transfer may take longer than the prefill: it saves
+/// engines the prefill of shared segments, and beyond it answers are late.
+const LONG_TRANSFER_FRACTION: f64 = 0.45;
 
-/// Stores whose moves take up to this many times the fastest one's time count as equally fast.
-const SAME_SPEED: f64 = 1.3;
+/// Ratio to the fastest store's time up to which stores count as equally fast.
+const EQUAL_SPEED_RATIO: f64 = 1.3;
 
-/// What becomes of a prompt's parts at the engine that was chosen.
+/// Plan for the segments of a prompt at the selected engine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TransferPlan {
-    /// Tokens believed kept there.
+    /// Tokens estimated to be cached there.
     pub kept_tokens: u64,
-    /// Tokens beyond them that are moved there.
+    /// Further tokens that are transferred there.
     pub moved_tokens: u64,
-    /// Tokens beyond those kept there that stores hold, moved or not.
+    /// Tokens beyond the cached ones that stores contain, transferred or not.
     pub held_tokens: u64,
-    /// Tokens of parts that others share, and that are read there all the same.
+    /// Tokens of shared segments that are prefilled there all the same.
     pub reread_tokens: u64,
-    /// Expected time of these moves, in microseconds.
+    /// Expected time of these transfers, in microseconds.
     pub transfer_time_micros: f64,
-    /// Where each part may be taken from.
+    /// Store from which each segment may be fetched.
     pub fetches: Vec<Option<EndpointKey>>,
-    /// Where each part is to be saved.
+    /// Store to which each segment is to be saved.
     pub saves: Vec<Option<EndpointKey>>,
 }
 
 impl TransferPlan {
-    /// Stores that parts are moved from, with the tokens of each.
-    pub fn moves<'a>(&'a self, parts: &'a [PromptSegment]) -> impl Iterator<Item = (EndpointKey, u64)> + 'a {
+    /// Returns the stores that segments are fetched from, with the tokens of each segment.
+    pub fn moves<'a>(
+        &'a self,
+        segments: &'a [PromptSegment],
+    ) -> impl Iterator<Item = (EndpointKey, u64)> + 'a {
         let mut tokens_before = 0;
-        self.fetches.iter().zip(parts).filter_map(move |(store, part)| {
-            let kept = tokens_before < self.kept_tokens;
-            tokens_before += u64::from(part.tokens);
-            store.filter(|_| !kept).map(|store| (store, u64::from(part.tokens)))
+        self.fetches.iter().zip(segments).filter_map(move |(store, segment)| {
+            let is_cached = tokens_before < self.kept_tokens;
+            tokens_before += u64::from(segment.tokens);
+            store.filter(|_| !is_cached).map(|store| (store, u64::from(segment.tokens)))
         })
     }
 }
 
-/// The stores that hold each part of a prompt.
+/// Stores that contain each segment of a prompt.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SegmentHolders(Vec<Vec<EndpointKey>>);
 
 impl SegmentHolders {
-    pub(crate) fn find(table: &FleetTable, parts: &[PromptSegment], salt: u64, now: Moment) -> Self {
-        let holders = parts.iter().map(|part| {
-            let key = salted_key(part.key, salt);
-            let holding = table.stores().filter(|(_, row)| row.holds(key, part.tokens, now));
-            holding.map(|(store, _)| store).collect()
+    pub(crate) fn find(table: &FleetTable, segments: &[PromptSegment], salt: u64, now: Moment) -> Self {
+        let holders = segments.iter().map(|segment| {
+            let key = salted_key(segment.key, salt);
+            let stores = table.stores().filter(|(_, row)| row.holds(key, segment.tokens, now));
+            stores.map(|(store, _)| store).collect()
         });
         Self(holders.collect())
     }
 }
 
-/// The quickest move of each part of a prompt to the engines of one data centre: the store, and the time in
+/// Fastest transfer of each segment of a prompt to the engines of one data centre: the store, and the time in
 /// microseconds.
 ///
-/// It is the same for all of them, so it is found once for each data centre and not for each engine.
+/// It is the same for all engines there, so it is computed once for each data centre and not for each engine.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SegmentTransfers(Vec<Option<(EndpointKey, f64)>>);
 
@@ -77,135 +80,144 @@
     pub(crate) fn find(
         table: &FleetTable,
         holders: &SegmentHolders,
-        parts: &[PromptSegment],
+        segments: &[PromptSegment],
         data_centre: &str,
         now: Moment,
     ) -> Self {
-        let moves = holders.0.iter().zip(parts).map(|(stores, part)| {
-            let tokens = u64::from(part.tokens);
+        let transfers = holders.0.iter().zip(segments).map(|(stores, segment)| {
+            let tokens = u64::from(segment.tokens);
             let times = stores.iter().filter_map(|store| {
                 Some((*store, table.store(*store)?.transfer_time_micros(tokens, data_centre, now)))
             });
-            times.min_by(|one, other| one.1.total_cmp(&other.1))
+            times.min_by(|first, second| first.1.total_cmp(&second.1))
         });
-        Self(moves.collect())
+        Self(transfers.collect())
     }
 }
 
-/// What moving a part to one engine is weighed against.
+/// Terms that the transfers to one engine are compared with.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TransferTerms {
-    /// Time in which it reads a token, in microseconds.
+    /// Time in which the engine prefills a token, in microseconds.
     pub read_micros: f64,
     /// The request's latency objective, in microseconds.
     pub objective_micros: f64,
 }
 
-/// Plans what an engine that keeps the first `kept_count` parts takes of the others from stores; where each comes
-/// from is left to [`plan_fetches`], which only the engine that is chosen needs.
+/// Plans what an engine that has cached the first `cached_count` segments fetches of the others. The stores
+/// are left to [`plan_fetches`], which only the selected engine needs.
 pub(crate) fn plan_transfers(
-    moves: &SegmentTransfers,
-    parts: &[PromptSegment],
+    transfers: &SegmentTransfers,
+    segments: &[PromptSegment],
     cached_count: usize,
     terms: TransferTerms,
 ) -> TransferPlan {
     let mut plan = TransferPlan {
-        kept_tokens: parts[..cached_count].iter().map(|part| u64::from(part.tokens)).sum(),
+        kept_tokens: segments[..cached_count].iter().map(|segment| u64::from(segment.tokens)).sum(),
         ..TransferPlan::default()
     };
-    let mut whole = true;
-    let shared = parts.len().saturating_sub(1);
-    for (row, (nearest, part)) in moves.0.iter().zip(parts).enumerate().skip(cached_count) {
-        let tokens = u64::from(part.tokens);
-        plan.held_tokens += if nearest.is_some() { tokens } else { 0 };
-        whole &= is_moved(*nearest, part, terms);
-        if let Some((_, micros)) = nearest.filter(|_| whole) {
+    let mut is_unbroken = true;
+    let shared_count = segments.len().saturating_sub(1);
+    for (index, (fastest, segment)) in transfers.0.iter().zip(segments).enumerate().skip(cached_count) {
+        let tokens = u64::from(segment.tokens);
+        plan.held_tokens += if fastest.is_some() { tokens } else { 0 };
+        is_unbroken &= is_transferred(*fastest, segment, terms);
+        if let Some((_, micros)) = fastest.filter(|_| is_unbroken) {
             plan.moved_tokens += tokens;
             plan.transfer_time_micros += micros;
-        } else if row < shared {
+        } else if index < shared_count {
             plan.reread_tokens += tokens;
         }
     }
     plan
 }
 
-/// Where each part may be taken from: those believed kept too, since the belief may be wrong, and of the others
-/// all before the first one that is not worth moving.
+/// Returns the store from which each segment may be fetched: those estimated to be cached too, since the
+/// estimate may be wrong, and of the others all before the first one that is not worth transferring.
 pub(crate) fn plan_fetches(
-    moves: &SegmentTransfers,
-    parts: &[PromptSegment],
+    transfers: &SegmentTransfers,
+    segments: &[PromptSegment],
     cached_count: usize,
     terms: TransferTerms,
 ) -> Vec<Option<EndpointKey>> {
-    let mut whole = true;
-    let stores = moves.0.iter().zip(parts).enumerate().map(|(row, (nearest, part))| {
-        let is_worth = is_moved(*nearest, part, terms);
-        whole &= is_worth || row < cached_count;
-        nearest.filter(|_| whole && is_worth).map(|(store, _)| store)
+    let mut is_unbroken = true;
+    let stores = transfers.0.iter().zip(segments).enumerate().map(|(index, (fastest, segment))| {
+        let is_worthwhile = is_transferred(*fastest, segment, terms);
+        is_unbroken &= is_worthwhile || index < cached_count;
+        fastest.filter(|_| is_unbroken && is_worthwhile).map(|(store, _)| store)
     });
     stores.collect()
 }
 
-fn is_moved(nearest: Option<(EndpointKey, f64)>, part: &PromptSegment, terms: TransferTerms) -> bool {
-    nearest.is_some_and(|(_, micros)| is_worth_moving(micros, u64::from(part.tokens), terms))
+fn is_transferred(
+    fastest: Option<(EndpointKey, f64)>,
+    segment: &PromptSegment,
+    terms: TransferTerms,
+) -> bool {
+    fastest.is_some_and(|(_, micros)| is_worth_transferring(micros, u64::from(segment.tokens), terms))
 }
 
-fn is_worth_moving(transfer_time_micros: f64, tokens: u64, terms: TransferTerms) -> bool {
-    let reading = tokens as f64 * terms.read_micros;
-    let with_price = reading + tokens as f64 * RECOMPUTE_MICROS_PER_TOKEN;
-    transfer_time_micros < reading
-        || transfer_time_micros < with_price.min(terms.objective_micros * LONG_MOVE_PART)
+fn is_worth_transferring(transfer_time_micros: f64, tokens: u64, terms: TransferTerms) -> bool {
+    let recompute_micros = tokens as f64 * terms.read_micros;
+    let priced_micros = recompute_micros + tokens as f64 * RECOMPUTE_MICROS_PER_TOKEN;
+    transfer_time_micros < recompute_micros
+        || transfer_time_micros < priced_micros.min(terms.objective_micros * LONG_TRANSFER_FRACTION)
 }
 
-/// Where parts are saved from, and where they may be.
+/// Engine and regions of a save.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SaveTarget<'a> {
     /// The engine's data centre.
     pub data_centre: &'a str,
-    /// Regions that the prompt may be kept in.
+    /// Home regions of the prompt.
     pub homes: HomeRegions<'a>,
 }
 
-/// Plans where an engine saves the parts that no store has.
+/// Plans to which store an engine saves each segment that no store contains.
 pub(crate) fn plan_saves(
     table: &FleetTable,
-    place: SaveTarget<'_>,
-    parts: &[PromptSegment],
+    target: SaveTarget<'_>,
+    segments: &[PromptSegment],
     salt: u64,
     now: Moment,
 ) -> Vec<Option<EndpointKey>> {
-    let shared = parts.len().saturating_sub(1);
-    let target = |part: &PromptSegment| {
-        let key = salted_key(part.key, salt);
+    let shared_count = segments.len().saturating_sub(1);
+    let choose = |segment: &PromptSegment| {
+        let key = salted_key(segment.key, salt);
         if table.stores().any(|(_, row)| row.has_or_awaits(key, now)) {
             return None;
         }
-        save_target(table, key, part.tokens, place, now)
+        choose_store(table, key, segment.tokens, target, now)
     };
-    parts.iter().enumerate().map(|(row, part)| if row < shared { target(part) } else { None }).collect()
+    segments
+        .iter()
+        .enumerate()
+        .map(|(index, segment)| if index < shared_count { choose(segment) } else { None })
+        .collect()
 }
 
-fn save_target(
+fn choose_store(
     table: &FleetTable,
     key: u64,
     tokens: u32,
-    place: SaveTarget<'_>,
+    target: SaveTarget<'_>,
     now: Moment,
 ) -> Option<EndpointKey> {
-    let speed = |row: &StoreRow| {
+    let save_micros = |row: &StoreRow| {
         row.spec.first_millis * 1_000.0
             + f64::from(tokens) * row.spec.token_bytes as f64 * 8.0 / row.spec.link_mbps.max(1.0)
     };
-    let open: Vec<_> = table
+    let candidates: Vec<_> = table
         .stores()
         .filter(|(_, row)| row.is_heard(now) && row.has_capacity(tokens))
-        .filter(|(_, row)| table.is_home(place.homes, &row.spec.data_centre))
+        .filter(|(_, row)| table.is_home(target.homes, &row.spec.data_centre))
         .collect();
-    let fastest = open.iter().map(|(_, row)| speed(row)).min_by(f64::total_cmp)?;
-    let near = |row: &StoreRow| row.spec.data_centre == place.data_centre;
-    // Among equally fast stores one nearby, else one by the part's own digest.
-    open.into_iter()
-        .filter(|(_, row)| speed(row) <= fastest * SAME_SPEED)
-        .max_by_key(|(store, row)| (near(row), store.0 ^ key))
+    let fastest = candidates.iter().map(|(_, row)| save_micros(row)).min_by(f64::total_cmp)?;
+    let is_local = |row: &StoreRow| row.spec.data_centre == target.data_centre;
+    // Prefers a store in the same data centre among equally fast ones, else selects by the segment's digest.
+    candidates
+        .into_iter()
+        .filter(|(_, row)| save_micros(row) <= fastest * EQUAL_SPEED_RATIO)
+        .max_by_key(|(store, row)| (is_local(row), store.0 ^ key))
         .map(|(store, _)| store)
 }
