--- a/crates/decide/tests/request_quarantine.rs
+++ b/crates/decide/tests/request_quarantine.rs
@@ -202,7 +202,7 @@
     for row in 0..4 {
         let at = Moment((100 + row) * MICROS_PER_SECOND);
         let older_report = CrashReport { age_micros: 90_000, ..report(2, 10 + row, at) };
-        quarantine.take_report(&older, at);
+        quarantine.take_report(&older_report, at);
         quarantine.take_report(&report(1, 10 + row, at), at);
         quarantine.evaluate_due(Moment(at.0 + EVIDENCE_DELAY_MICROS));
     }
