--- a/crates/decide/src/fleet/fleet_keys.rs
+++ b/crates/decide/src/fleet/fleet_keys.rs
@@ -1,10 +1,11 @@
-//! By what endpoints, VMs and sources of loads are known, on all VMs alike.
+//! Keys of endpoints, VMs and sources of load digests.
 //!
-//! Invariant: a key is a digest of names alone, so that messages between VMs need no names.
+//! Invariant: a key is a digest of names alone and the same on all VMs, so that messages between VMs need no
+//! names.
 
 use serde::{Deserialize, Serialize};
 
-/// Short digest of an endpoint's id and of its start.
+/// Short digest of an endpoint's id and start time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointKey(pub u64);
 
@@ -12,28 +13,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VmKey(pub u64);
 
-/// A store, how long moves still take its link in microseconds, and the pace that they have shown lately.
+/// Store, remaining transfer time on its link in microseconds, and recent slowdown of transfers.
 pub type LinkTransfers = (EndpointKey, u64, Option<f32>);
 
-/// Whose loads a digest tells.
+/// VMs whose loads a digest contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LoadSource {
-    /// Those of one VM.
+    /// One VM.
     Vm(VmKey),
-    /// Those of all VMs of a data centre together, by the short digest of its name.
+    /// All VMs of a data centre together, by the short digest of its name.
     DataCentre(u64),
-    /// Those of all VMs of all other data centres together, as a lead of this one passed them on.
+    /// All VMs of all other data centres together, as relayed by a leader of this data centre.
     Elsewhere,
 }
 
 impl LoadSource {
-    /// The VMs of a data centre.
+    /// Returns the source for all VMs of a data centre.
     pub fn data_centre(name: &str) -> Self {
         Self::DataCentre(short_digest(name))
     }
 }
 
-/// Short digest of `text`; the same on every VM.
+/// Returns a short digest of `text`, which is the same on every VM.
 ///
 /// # Examples
 /// ```
@@ -48,15 +49,15 @@
 }
 
 impl EndpointKey {
-    /// The key of the endpoint called `id`, on a platform that does not tell starts apart: a new start has a new id.
+    /// Returns the key of an endpoint on a platform where each start has a new id.
     pub fn of(id: &str) -> Self {
         Self(short_digest(id))
     }
 
-    /// The key of a start of the endpoint called `id`, where `born_millis` tells starts apart.
+    /// Returns the key of one incarnation of an endpoint, where `born_millis` distinguishes its starts.
     ///
-    /// All that is believed of an endpoint, here and at other VMs, stands under this key: what belongs to an earlier start
-    /// is not found under a later one's.
+    /// All state of an endpoint, here and at other VMs, is stored under this key. State of an earlier
+    /// incarnation is therefore not found under the key of a later one.
     ///
     /// # Examples
     /// ```
@@ -70,7 +71,7 @@
 }
 
 impl VmKey {
-    /// The key of the VM called `name`.
+    /// Returns the key of the VM called `name`.
     pub fn of(name: &str) -> Self {
         Self(short_digest(name))
     }
--- a/crates/decide/src/fleet/fleet_limits.rs
+++ b/crates/decide/src/fleet/fleet_limits.rs
@@ -1,6 +1,8 @@
-//! What keeps work from endpoints for a while: evacuated data centres, and engines that are cold or name limits.
+//! Temporary restrictions of work: evacuated data centres, cold endpoints, and endpoints with reported
+//! limits.
 //!
-//! Invariant: an endpoint that is listed in an evacuated data centre is marked as such, whichever of both was told first.
+//! Invariant: an endpoint that is listed in an evacuated data centre is marked evacuated, whichever of the
+//! two was received first.
 
 use crate::admit::candidates;
 use crate::{
@@ -9,27 +11,27 @@
 };
 use spanfold_entity::Moment;
 
-/// An endpoint is taken for cold for this long at most, in milliseconds, whatever its entry says.
-pub(super) const COLD_MOST_MILLIS: u64 = 600_000;
+/// Longest time for which an endpoint is treated as cold, in milliseconds, whatever its entry states.
+pub(super) const MAX_COLD_MILLIS: u64 = 600_000;
 
 impl FleetTable {
-    /// Until when an endpoint is cold whose entry has come at `now`.
-    pub(super) fn cold_until(&mut self, entry: &EndpointEntry, now: Moment) -> Moment {
+    /// Returns when an endpoint whose entry was received at `now` stops being cold.
+    pub(super) fn cold_until_of(&mut self, entry: &EndpointEntry, now: Moment) -> Moment {
         let spec = self.services.get(&entry.service).map_or_else(ColdSpec::default, |service| service.cold);
-        let millis = entry.cold_millis.unwrap_or(spec.start_millis).min(COLD_MOST_MILLIS);
-        let until = now.after_millis(millis);
+        let millis = entry.cold_millis.unwrap_or(spec.start_millis).min(MAX_COLD_MILLIS);
+        let cold_until = now.after_millis(millis);
         if spec.per_s > 0.0 {
-            self.cold_until = self.cold_until.max(until);
+            self.max_cold_until = self.max_cold_until.max(cold_until);
         }
-        until
+        cold_until
     }
 
-    /// Whether any endpoint may take few requests only: it is cold, or names a limit.
+    /// Whether any endpoint may take few requests only: it is cold, or has a reported limit.
     pub fn is_any_limited(&self, now: Moment) -> bool {
-        self.has_limits || now < self.cold_until
+        self.has_limits || now < self.max_cold_until
     }
 
-    /// What an endpoint bears, if it is cold and bears less than a warm one.
+    /// Returns the reduced rate of an endpoint, if it is cold and takes less than a warm one.
     pub fn cold_spec(&self, row: &EndpointRow, now: Moment) -> Option<ColdSpec> {
         if now >= row.cold_until {
             return None;
@@ -38,18 +40,22 @@
         (spec.per_s > 0.0).then_some(spec)
     }
 
-    /// Endpoints that are cold and bear less than warm ones.
+    /// Returns the number of endpoints that are cold and take less than warm ones.
     pub fn cold_count(&self, now: Moment) -> usize {
         self.rows.values().filter(|row| self.cold_spec(row, now).is_some()).count()
     }
 
-    /// What an endpoint takes from all VMs together, if that is few: the lowest of all terms binds.
+    /// Returns the rate terms of an endpoint for all VMs together; the lowest one applies.
+    ///
+    /// There are none for an endpoint that is neither cold nor limited.
     fn rate_terms(&self, row: &EndpointRow, cold: ColdTerms, now: Moment) -> [Option<RateTerms>; 2] {
-        let is_cold = self.cold_spec(row, now).map(|spec| RateTerms::of_cold(spec, cold));
-        [is_cold, row.limit.rate(now).map(RateTerms::of_limit)]
+        let cold_terms = self.cold_spec(row, now).map(|spec| RateTerms::of_cold(spec, cold));
+        [cold_terms, row.limit.rate(now).map(RateTerms::of_limit)]
     }
 
-    /// When this VM may send a request to an endpoint: now, unless that rests or takes few requests; none if it may send none.
+    /// Returns when this VM may send a request to an endpoint; none if it may send none.
+    ///
+    /// That is now, unless the endpoint is backing off or takes few requests.
     pub fn next_share(
         &self,
         key: EndpointKey,
@@ -60,8 +66,8 @@
         let terms = self.rate_terms(row, shares.cold, now);
         let mut next_at = row.rest.next_at(now);
         for terms in terms.iter().flatten() {
-            let part = shares.part(key, row, terms);
-            next_at = next_at.max(row.recent_sends.next_at(part, terms.window_millis, now)?);
+            let share = shares.part(key, row, terms);
+            next_at = next_at.max(row.recent_sends.next_at(share, terms.window_millis, now)?);
         }
         Some(next_at)
     }
@@ -73,59 +79,61 @@
             .is_some_and(|row| row.limit.rate(now).is_some() || self.cold_spec(row, now).is_some())
     }
 
-    /// Counts a request that is about to be sent to an endpoint; false if that takes none now, which another request may have
-    /// brought about since the choice.
+    /// Counts a request about to be sent to an endpoint; returns false if it takes none now.
+    ///
+    /// Another request may have used the share since the endpoint was chosen.
     pub fn consume_share(&mut self, key: EndpointKey, shares: &ShareView<'_>, now: Moment) -> bool {
         let Some(row) = self.rows.get(&key) else { return false };
         let terms = self.rate_terms(row, shares.cold, now);
         let window_millis = terms.iter().flatten().map(|terms| terms.window_millis).max();
-        let takes = self.next_share(key, row, shares, now).is_some_and(|at| at <= now);
-        if takes && let Some(row) = self.rows.get_mut(&key) {
+        let takes_request = self.next_share(key, row, shares, now).is_some_and(|at| at <= now);
+        if takes_request && let Some(row) = self.rows.get_mut(&key) {
             row.rest.record_send(now);
             if let Some(window_millis) = window_millis {
                 row.recent_sends.push(window_millis, now);
             }
         }
-        takes
+        takes_request
     }
 
-    /// What the endpoints take together that a request may go to, if all of them rest or take few requests only.
-    pub fn share_capacity(&self, ask: &PlacementRequest<'_>, now: Moment) -> Option<ShareCapacity> {
-        let shares = &ask.shares;
-        let mut outlook = ShareCapacity { vms: shares.vms, ..ShareCapacity::default() };
-        let (mut is_any, mut all_rest) = (false, true);
-        for (key, row) in candidates(self, ask, now) {
-            is_any = true;
+    /// Returns the joint capacity of a request's candidates, if all are backing off or limited.
+    pub fn share_capacity(&self, request: &PlacementRequest<'_>, now: Moment) -> Option<ShareCapacity> {
+        let shares = &request.shares;
+        let mut capacity = ShareCapacity { vms: shares.vms, ..ShareCapacity::default() };
+        let (mut has_candidates, mut all_back_off) = (false, true);
+        for (key, row) in candidates(self, request, now) {
+            has_candidates = true;
             let terms = self.rate_terms(row, shares.cold, now);
             let lowest = terms
                 .into_iter()
                 .flatten()
-                .min_by(|one, other| one.per_s(one.count).total_cmp(&other.per_s(other.count)));
+                .min_by(|left, right| left.per_s(left.count).total_cmp(&right.per_s(right.count)));
             match lowest {
                 Some(terms) => {
-                    outlook.all_per_s += terms.per_s(terms.count);
-                    outlook.own_per_s += terms.per_s(shares.part(key, row, &terms));
+                    capacity.all_per_s += terms.per_s(terms.count);
+                    capacity.own_per_s += terms.per_s(shares.part(key, row, &terms));
                 }
-                None if row.rest.is_over(now) => return None, // It would have been chosen.
-                None => outlook.add_backed_off(row),
+                None if row.rest.is_recovered(now) => return None, // The request would have been placed there.
+                None => capacity.add_backed_off(row),
             }
-            all_rest &= row.rest.is_backing_off(now);
-            outlook.backoff_until = [outlook.backoff_until, row.rest.until(now)].into_iter().flatten().min();
+            all_back_off &= row.rest.is_backing_off(now);
+            capacity.backoff_until =
+                [capacity.backoff_until, row.rest.until(now)].into_iter().flatten().min();
             let next_at = self.next_share(key, row, shares, now);
-            outlook.next_at = [outlook.next_at, next_at].into_iter().flatten().min();
+            capacity.next_at = [capacity.next_at, next_at].into_iter().flatten().min();
         }
-        outlook.backoff_until = outlook.backoff_until.filter(|_| all_rest);
-        is_any.then_some(outlook)
+        capacity.backoff_until = capacity.backoff_until.filter(|_| all_back_off);
+        has_candidates.then_some(capacity)
     }
 
-    /// Takes what an endpoint says of its limit, to this VM or as another one told.
+    /// Applies an endpoint's report of its limit, from an answer to this VM or from another VM.
     pub fn observe_limit(&mut self, key: EndpointKey, report: LimitReport) -> LimitChange {
         let change = self.rows.get_mut(&key).map_or(LimitChange::None, |row| row.limit.observe(report));
         self.has_limits |= change == LimitChange::Begun;
         change
     }
 
-    /// The report of an endpoint's limit that other VMs are to be told now, if any, after one that changed `change`.
+    /// Returns the limit report to send to other VMs now, if any; `change` is the effect of the last report.
     pub fn take_due_limit(
         &mut self,
         key: EndpointKey,
@@ -135,59 +143,62 @@
         self.rows.get_mut(&key)?.limit.take_due(change, now)
     }
 
-    /// Reports of current limits, `most` of them from the `turn`th on, for VMs that have just started.
-    pub fn rotating_limits(&self, turn: usize, most: usize) -> Vec<(EndpointKey, LimitReport)> {
+    /// Returns at most `limit` reports of current limits, for VMs that have just started.
+    ///
+    /// Successive values of `offset` rotate through all of them.
+    pub fn rotating_limits(&self, offset: usize, limit: usize) -> Vec<(EndpointKey, LimitReport)> {
         if !self.has_limits {
             return Vec::new();
         }
         let reports = self.rows.iter().filter_map(|(key, row)| Some((*key, *row.limit.report()?)));
         let reports: Vec<_> = reports.filter(|(_, report)| report.per_s.is_some()).collect();
-        let places = (0..reports.len().min(most)).map(|place| (turn + place) % reports.len());
-        places.map(|place| reports[place]).collect()
+        let indices = (0..reports.len().min(limit)).map(|index| (offset + index) % reports.len());
+        indices.map(|index| reports[index]).collect()
     }
 
-    /// Ends limits that no answer has repeated for long, and names their endpoints.
+    /// Removes expired limits, which no answer has repeated; returns the ids of their endpoints.
     pub fn expire_limits(&mut self, now: Moment) -> Vec<String> {
-        let mut lapsed = Vec::new();
+        let mut expired = Vec::new();
         for row in self.rows.values_mut() {
             if row.limit.sweep(now) {
-                lapsed.push(row.entry.id.clone());
+                expired.push(row.entry.id.clone());
             }
         }
         self.has_limits = self.rows.values().any(|row| row.limit.per_s().is_some());
-        lapsed
+        expired
     }
 
-    /// Endpoints that name a limit.
+    /// Returns the number of endpoints with a reported limit.
     pub fn limited_count(&self) -> usize {
         self.rows.values().filter(|row| row.limit.per_s().is_some()).count()
     }
 
-    /// Notes that a data centre is evacuated until `until`, [`Moment::NEVER`] while the operator asks for it; whether it
-    /// was not before.
+    /// Records that a data centre is evacuated until `until`; returns whether it was not before.
+    ///
+    /// `until` is [`Moment::NEVER`] while the operator's order is in force.
     pub fn evacuate(&mut self, data_centre: &str, until: Moment, now: Moment) -> bool {
-        let before = self.evacuated.insert(data_centre.to_owned(), until);
+        let previous_until = self.evacuated.insert(data_centre.to_owned(), until);
         self.mark_evacuated(data_centre, until);
-        before.is_none_or(|before| now >= before)
+        previous_until.is_none_or(|previous_until| now >= previous_until)
     }
 
-    /// Notes that an evacuation was taken back; whether there was one.
+    /// Cancels the evacuation of a data centre; returns whether there was one.
     pub fn cancel_evacuation(&mut self, data_centre: &str) -> bool {
         self.mark_evacuated(data_centre, Moment(0));
         self.evacuated.remove(data_centre).is_some()
     }
 
-    /// Ends evacuations whose time is over, and names them.
+    /// Removes expired evacuations; returns the names of their data centres.
     pub fn expire_evacuations(&mut self, now: Moment) -> Vec<String> {
-        let over: Vec<_> =
+        let expired: Vec<_> =
             self.evacuated.iter().filter(|(_, until)| now >= **until).map(|(name, _)| name.clone()).collect();
-        for data_centre in &over {
+        for data_centre in &expired {
             self.cancel_evacuation(data_centre);
         }
-        over
+        expired
     }
 
-    /// Data centres that are evacuated.
+    /// Iterates over the evacuated data centres.
     pub fn evacuated(&self, now: Moment) -> impl Iterator<Item = &str> {
         let rows = self.evacuated.iter().filter(move |(_, until)| now < **until);
         rows.map(|(data_centre, _)| data_centre.as_str())
--- a/crates/decide/src/fleet/fleet_table.rs
+++ b/crates/decide/src/fleet/fleet_table.rs
@@ -1,9 +1,11 @@
-//! All endpoints that this VM knows, with their loads.
+//! Table of all listed endpoints, with their loads.
 //!
-//! Invariant: an endpoint that has said it leaves is never chosen again in its present start, and one whose entry is
-//! gone only if it writes it again. Of two starts under one id the later one stands, and nothing that is believed of the
-//! earlier one holds for it. Rows are found by a short digest of id and start, which is the same on all VMs, so that
-//! digests of loads need no names.
+//! Each start of an endpoint is an incarnation with a row of its own. Rows are keyed by a short digest of the
+//! id and the start time. The digest is the same on all VMs, so that load digests need no names.
+//!
+//! Invariant: an incarnation that has announced its departure is never chosen again. One whose entry was
+//! removed is chosen again only after its entry is written anew. Of two incarnations of one id the later one
+//! is current, and no state of the earlier one applies to it.
 
 use crate::{
     DeploymentConfig, EndpointEntry, EndpointKey, EndpointRow, HomeRegions, LoadSource, SendOutcome,
@@ -13,120 +15,126 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-/// A data centre to which a send broke is tried again after this long, in milliseconds.
-const FAILING_MILLIS: u64 = 3_000;
-/// An endpoint whose entry is gone may go on serving for this long, in milliseconds: the longest
-/// deadline of requests that were sent before, and more.
-pub(super) const AFTERLIFE_MILLIS: u64 = 15_000;
-/// A VM with an answer from any endpoint within this time, in milliseconds, is believed of one that it cannot reach.
-const REACHING_MILLIS: u64 = 2_000;
-/// Ended incarnations that are remembered, so that a late entry does not revive one: several replacements of all endpoints
-/// of a large deployment.
-pub(super) const ENDED_MOST: usize = 16_384;
+/// Time after which a data centre is tried again once a send to it failed, in milliseconds.
+const DATA_CENTRE_RETRY_DELAY_MILLIS: u64 = 3_000;
+/// Time for which an endpoint may continue to serve after its entry was removed, in milliseconds.
+///
+/// Exceeds the longest deadline of requests that were sent before the removal.
+pub(super) const REMOVED_RETENTION_MILLIS: u64 = 15_000;
+/// Age up to which an answer from any endpoint shows that this VM is not cut off itself, in milliseconds.
+///
+/// Only then does it report to other VMs that it cannot reach an endpoint.
+const REACHABILITY_WINDOW_MILLIS: u64 = 2_000;
+/// Removed incarnations that are retained, so that a late entry does not restore one.
+///
+/// Covers several replacements of all endpoints of a large deployment. Bounds the unreadable ids too.
+pub(super) const MAX_REMOVED_ENDPOINTS: usize = 16_384;
 
-/// All endpoints.
+/// Table of all endpoints.
 #[derive(Debug, Default)]
 pub struct FleetTable {
-    /// Each row for itself: a tree's nodes are a third empty.
+    /// Rows by key, each in its own allocation: the nodes of a tree are a third empty.
     pub(super) rows: BTreeMap<EndpointKey, Box<EndpointRow>>,
-    /// Weights that many endpoints have, kept once.
+    /// Weight sets shared by many endpoints.
     pub(super) weights: SharedWeights,
     pub(super) services: BTreeMap<String, ServiceRow>,
-    pub(super) by_service: HashMap<String, Vec<EndpointKey>>,
-    /// Ids whose entries cannot be read since they were written last.
-    pub(super) unreadable: HashSet<String>,
-    /// Services whose endpoints tell their starts.
-    pub(super) dated: HashSet<String>,
-    /// The newest start of each id.
-    pub(super) newest: HashMap<EndpointKey, NewestStart>,
-    pub(super) ended: HashMap<EndpointKey, EndedRow>,
+    pub(super) keys_by_service: HashMap<String, Vec<EndpointKey>>,
+    /// Ids whose last written entries cannot be parsed.
+    pub(super) unreadable_ids: HashSet<String>,
+    /// Services whose endpoints state their start times.
+    pub(super) dated_services: HashSet<String>,
+    /// Newest incarnation of each id.
+    pub(super) newest_incarnations: HashMap<EndpointKey, NewestIncarnation>,
+    pub(super) removed: HashMap<EndpointKey, RemovedEndpoint>,
     pub(super) stores: BTreeMap<EndpointKey, StoreRow>,
-    reach: HashMap<String, ReachNote>,
-    pub(super) told: HashMap<LoadSource, ToldRows>,
+    reachability: HashMap<String, ReachabilityRecord>,
+    pub(super) reported_rows: HashMap<LoadSource, ReportedRows>,
     /// Endpoints where this VM has work in flight.
     pub(super) own_busy: BTreeSet<EndpointKey>,
-    /// Endpoints of which other VMs are told more than loads: their weights change, or have changed lately.
-    pub(super) changing: BTreeSet<EndpointKey>,
-    /// Evacuated data centres, and until when.
+    /// Endpoints whose weights change or changed recently, which digests contain besides their loads.
+    pub(super) changing_weights: BTreeSet<EndpointKey>,
+    /// Evacuated data centres, with the end of each evacuation.
     pub(super) evacuated: BTreeMap<String, Moment>,
-    /// The region of each data centre.
+    /// Region of each data centre.
     pub(super) regions: BTreeMap<String, String>,
-    /// No endpoint is cold from then on, as far as is known.
-    pub(super) cold_until: Moment,
-    /// Whether any endpoint may name a limit.
+    /// Upper bound of `cold_until` over all rows.
+    pub(super) max_cold_until: Moment,
+    /// Whether any endpoint may have a reported limit.
     pub(super) has_limits: bool,
 }
 
-/// Which rows a source's last digest named: those that its next one does not name are at rest.
+/// Rows that the last digest of a source listed.
+///
+/// Rows that its next digest does not list are idle there.
 #[derive(Debug, Default)]
-pub(super) struct ToldRows {
-    pub(super) at: Moment,
+pub(super) struct ReportedRows {
+    pub(super) received_at: Moment,
     pub(super) endpoints: Vec<EndpointKey>,
     pub(super) stores: Vec<EndpointKey>,
 }
 
-/// The newest start of an endpoint that was told.
+/// Newest incarnation of an endpoint that an entry has listed.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct NewestStart {
+pub(super) struct NewestIncarnation {
     pub(super) key: EndpointKey,
     pub(super) born_millis: Option<u64>,
 }
 
-/// An incarnation that is gone, or that is not known yet and leaves.
+/// Incarnation that was removed, or one that departs and is not listed yet.
 #[derive(Debug)]
-pub(super) struct EndedRow {
-    /// Its id; empty if that is not known yet.
+pub(super) struct RemovedEndpoint {
+    /// Its id; empty if it was never listed.
     pub(super) id: String,
-    pub(super) at: Moment,
-    /// The weights that it had.
+    pub(super) recorded_at: Moment,
+    /// Weights that it had loaded.
     pub(super) weights: Arc<BTreeMap<String, u64>>,
-    /// It had said that it leaves.
-    pub(super) draining: bool,
+    /// Whether it had announced its departure.
+    pub(super) has_departed: bool,
 }
 
-/// Endpoints that get less work than others, or none.
+/// Counts of endpoints that get less work than others, or none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetCounts {
-    /// Those that VMs could not reach.
+    /// Endpoints that VMs could not reach.
     pub suspected: usize,
-    /// Those that are cold.
+    /// Endpoints that are cold.
     pub cold: usize,
-    /// Those that name a limit.
+    /// Endpoints with a reported limit.
     pub limited: usize,
-    /// Those that said in an answer that they leave.
+    /// Endpoints that announced their departure in an answer.
     pub departed: usize,
-    /// Those that asked this VM for a rest.
+    /// Endpoints that asked this VM for a backoff that has not expired.
     pub resting: usize,
 }
 
-/// What a pass over all endpoints brought.
+/// Result of a sweep over all endpoints.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetSweep {
-    /// Endpoints that were gone and idle, and are dropped.
+    /// Endpoints that were removed: their entries are gone and this VM has no work in flight there.
     pub gone: Vec<EndpointKey>,
-    /// Counts of the others.
+    /// Counts of the remaining endpoints.
     pub counts: FleetCounts,
 }
 
-/// How sends to a data centre's endpoints went last.
+/// Times of the last failed and the last answered send to a data centre's endpoints.
 #[derive(Clone, Copy, Debug, Default)]
-struct ReachNote {
-    broke_at: Option<Moment>,
+struct ReachabilityRecord {
+    failed_at: Option<Moment>,
     answered_at: Option<Moment>,
 }
 
 impl FleetTable {
-    /// Takes the region of each data centre.
+    /// Sets the region of each data centre.
     pub fn set_regions(&mut self, regions: BTreeMap<String, String>) {
         self.regions = regions;
     }
 
-    /// Whether a request with these homes may be served in a data centre, or anything kept of it there.
+    /// Whether a request with these home regions may be served, or its cache stored, in a data centre.
     pub fn is_home(&self, homes: HomeRegions<'_>, data_centre: &str) -> bool {
         homes.is_anywhere() || homes.allow(self.regions.get(data_centre).map(String::as_str))
     }
 
-    /// Takes the services of a new configuration.
+    /// Applies the services of a new configuration.
     pub fn set_services(&mut self, config: &DeploymentConfig) {
         self.services.clone_from(&config.services);
         let specs: BTreeMap<_, _> = config
@@ -140,13 +148,17 @@
         }
     }
 
-    /// What the configuration says of `service`.
+    /// Returns the configuration of `service`.
     pub fn service(&self, service: &str) -> Option<&ServiceRow> {
         self.services.get(service)
     }
 
-    /// Notes entries that a whole listing does not hold any more.
-    pub fn mark_missing_except(&mut self, listed: &HashSet<EndpointKey>, hold: Moment) -> Vec<String> {
+    /// Marks entries missing that a full listing does not contain; returns their ids.
+    pub fn mark_missing_except(
+        &mut self,
+        listed: &HashSet<EndpointKey>,
+        grace_deadline: Moment,
+    ) -> Vec<String> {
         let missing: Vec<_> = self
             .rows
             .iter()
@@ -154,110 +166,115 @@
             .map(|(_, row)| row.entry.id.clone())
             .collect();
         for id in &missing {
-            self.mark_entry_missing(id, hold);
+            self.mark_entry_missing(id, grace_deadline);
         }
         missing
     }
 
-    /// Drops endpoints that are gone and idle, and counts the others, in one pass over all.
+    /// Removes idle endpoints whose entries are gone and counts the others, in one pass.
     pub fn sweep(&mut self, now: Moment) -> FleetSweep {
         let mut gone = Vec::new();
         let mut counts = FleetCounts::default();
         for (key, row) in &mut self.rows {
-            if row.missing_until.is_some_and(|until| now >= until) && row.own.running == 0 {
+            if row.missing_until.is_some_and(|deadline| now >= deadline) && row.own.running == 0 {
                 gone.push(*key);
                 continue;
             }
-            row.relax();
-            row.peers.sweep(now);
+            row.decay_slowdown();
+            row.peer_loads.sweep(now);
             counts.suspected += usize::from(row.is_suspected());
             counts.limited += usize::from(row.limit.per_s().is_some());
             counts.departed += usize::from(row.has_departed);
             counts.resting += usize::from(row.rest.is_backing_off(now));
         }
-        counts.cold = if now < self.cold_until { self.cold_count(now) } else { 0 };
+        counts.cold = if now < self.max_cold_until { self.cold_count(now) } else { 0 };
         let rows = &self.rows;
-        self.changing.retain(|key| rows.get(key).is_some_and(|row| row.is_changing(now)));
+        self.changing_weights.retain(|key| rows.get(key).is_some_and(|row| row.has_changing_weights(now)));
         for key in &gone {
             let Some(row) = self.rows.remove(key) else { continue };
             self.own_busy.remove(key);
-            if let Some(keys) = self.by_service.get_mut(&row.entry.service) {
-                keys.retain(|other| other != key);
+            if let Some(keys) = self.keys_by_service.get_mut(&row.entry.service) {
+                keys.retain(|listed_key| listed_key != key);
             }
-            let draining = row.has_announced_end();
+            let has_departed = row.has_announced_end();
             let EndpointEntry { id, weights, .. } = row.entry;
-            self.record_ended(*key, EndedRow { id, at: now, weights, draining });
+            self.record_removed(*key, RemovedEndpoint { id, recorded_at: now, weights, has_departed });
         }
         for row in self.stores.values_mut() {
             row.sweep(now);
         }
-        self.told.retain(|_, told| now < told.at.after_millis(AFTERLIFE_MILLIS));
+        self.reported_rows.retain(|_, rows| now < rows.received_at.after_millis(REMOVED_RETENTION_MILLIS));
         FleetSweep { gone, counts }
     }
 
-    /// Remembers an incarnation that is gone, in place of the one that went first if there are too many.
-    pub(super) fn record_ended(&mut self, key: EndpointKey, ended: EndedRow) {
-        if self.ended.len() >= ENDED_MOST
-            && let Some(first) = self.ended.iter().min_by_key(|(_, row)| row.at).map(|(key, _)| *key)
-            && let Some(row) = self.ended.remove(&first)
-            && self.key_of(&row.id) == first
+    /// Records a removed incarnation, and evicts the oldest record when the limit is reached.
+    pub(super) fn record_removed(&mut self, key: EndpointKey, removed: RemovedEndpoint) {
+        if self.removed.len() >= MAX_REMOVED_ENDPOINTS
+            && let Some(oldest) =
+                self.removed.iter().min_by_key(|(_, row)| row.recorded_at).map(|(key, _)| *key)
+            && let Some(row) = self.removed.remove(&oldest)
+            && self.key_of(&row.id) == oldest
         {
-            self.newest.remove(&EndpointKey::of(&row.id));
+            self.newest_incarnations.remove(&EndpointKey::of(&row.id));
         }
-        self.ended.insert(key, ended);
+        self.removed.insert(key, removed);
     }
 
-    /// Whether an incarnation that is gone, or not known yet, had said that it leaves.
+    /// Whether an incarnation that was removed, or is not listed yet, had announced its departure.
     pub(super) fn had_departed(&self, key: EndpointKey) -> bool {
-        self.ended.get(&key).is_some_and(|row| row.draining)
+        self.removed.get(&key).is_some_and(|row| row.has_departed)
     }
 
-    /// One endpoint.
+    /// Returns the row of an endpoint.
     pub fn row(&self, key: EndpointKey) -> Option<&EndpointRow> {
         self.rows.get(&key).map(Box::as_ref)
     }
 
-    /// All endpoints.
+    /// Iterates over all endpoints.
     pub fn rows(&self) -> impl Iterator<Item = (EndpointKey, &EndpointRow)> {
         self.rows.iter().map(|(key, row)| (*key, row.as_ref()))
     }
 
-    /// The keys of the endpoints of `service`.
+    /// Returns the keys of the endpoints of `service`.
     pub(crate) fn keys_of(&self, service: &str) -> &[EndpointKey] {
-        self.by_service.get(service).map_or(&[][..], Vec::as_slice)
+        self.keys_by_service.get(service).map_or(&[][..], Vec::as_slice)
     }
 
-    /// The endpoints of `service`.
+    /// Iterates over the endpoints of `service`.
     pub fn rows_of(&self, service: &str) -> impl Iterator<Item = (EndpointKey, &EndpointRow)> {
         self.keys_of(service).iter().filter_map(|key| self.rows.get(key).map(|row| (*key, row.as_ref())))
     }
 
-    /// Learns from how a send went.
+    /// Records the outcome of a send by this VM.
     pub fn learn(&mut self, key: EndpointKey, outcome: SendOutcome, now: Moment) {
         let Some(row) = self.rows.get_mut(&key) else { return };
         row.learn(outcome, now);
-        let note = self.reach.entry(row.entry.data_centre.clone()).or_default();
+        let record = self.reachability.entry(row.entry.data_centre.clone()).or_default();
         match outcome {
-            SendOutcome::Unreached | SendOutcome::Broken | SendOutcome::Silent => note.broke_at = Some(now),
+            SendOutcome::Unreached | SendOutcome::Broken | SendOutcome::Silent => {
+                record.failed_at = Some(now);
+            }
             SendOutcome::Answered | SendOutcome::Failed | SendOutcome::Refused => {
-                note.answered_at = Some(now);
+                record.answered_at = Some(now);
             }
         }
     }
 
-    /// Whether the last send to a data centre broke a short while ago, and none was answered since.
+    /// Whether a send to a data centre failed recently and none has been answered since.
     pub fn is_failing(&self, data_centre: &str, now: Moment) -> bool {
-        let Some(note) = self.reach.get(data_centre) else { return false };
-        let broke = note.broke_at.filter(|at| now < at.after_millis(FAILING_MILLIS));
-        broke.is_some_and(|at| note.answered_at.is_none_or(|answered| answered <= at))
+        let Some(record) = self.reachability.get(data_centre) else { return false };
+        let failed_at = record.failed_at.filter(|at| now < at.after_millis(DATA_CENTRE_RETRY_DELAY_MILLIS));
+        failed_at.is_some_and(|at| record.answered_at.is_none_or(|answered_at| answered_at <= at))
     }
 
-    /// Whether that holds for any data centre.
+    /// Whether [`is_failing`](Self::is_failing) holds for any data centre.
     pub fn is_any_failing(&self, now: Moment) -> bool {
-        self.reach.keys().any(|data_centre| self.is_failing(data_centre, now))
+        self.reachability.keys().any(|data_centre| self.is_failing(data_centre, now))
     }
 
-    /// Learns an engine's pace from the time to a first event; gives the multiple of the usual time that it took.
+    /// Updates an engine's slowdown from the time to a first event.
+    ///
+    /// Returns the sample, a multiple of the usual time.
     pub fn record_slowdown(
         &mut self,
         key: EndpointKey,
@@ -267,19 +284,23 @@
         self.rows.get_mut(&key)?.record_slowdown(taken_micros, expected_micros)
     }
 
-    /// Whether a send is reported to other VMs: it failed, or its endpoint failed before. A broken send indicates nothing
-    /// about the endpoint while this VM has no answers from any endpoint.
+    /// Whether a send is reported to other VMs: it failed, or its endpoint failed before.
+    ///
+    /// A failed send indicates nothing about the endpoint while this VM has no answers from any endpoint.
     pub fn should_propagate(&self, report: &SendReport, now: Moment) -> bool {
         let Some(row) = self.rows.get(&report.key) else { return false };
-        let lately = |at: Moment| now < at.after_millis(REACHING_MILLIS);
-        let reaches_others = self.reach.values().any(|note| note.answered_at.is_some_and(lately));
+        let is_recent = |at: Moment| now < at.after_millis(REACHABILITY_WINDOW_MILLIS);
+        let reaches_others =
+            self.reachability.values().any(|record| record.answered_at.is_some_and(is_recent));
         row.should_propagate(report) && (report.outcome == SendOutcome::Answered || reaches_others)
     }
 
-    /// Learns from what another VM reports of a send; `turn` is this VM's place, drawn anew, among all VMs.
-    pub fn apply_send_report(&mut self, teller: VmKey, report: &SendReport, turn: f64, now: Moment) {
+    /// Applies another VM's report of a send.
+    ///
+    /// `slot` is a fresh random draw of this VM's position among all VMs, which staggers their retries.
+    pub fn apply_send_report(&mut self, reporter: VmKey, report: &SendReport, slot: f64, now: Moment) {
         if let Some(row) = self.rows.get_mut(&report.key) {
-            row.apply_send_report(teller, report, turn, now);
+            row.apply_send_report(reporter, report, slot, now);
         }
     }
 }
--- a/crates/decide/src/fleet/fleet_versions.rs
+++ b/crates/decide/src/fleet/fleet_versions.rs
@@ -1,11 +1,12 @@
-//! Endpoints of a service by the version of their software.
+//! Endpoints of a service by their software version.
 
 use crate::{FleetTable, VersionSplit};
 use spanfold_entity::Moment;
 
 impl FleetTable {
-    /// The last endpoint, in the order of tests, of those that a share of the requests tests; none if no endpoint of the
-    /// version takes work.
+    /// Returns the test order of the last canary endpoint for a share of the requests.
+    ///
+    /// None if no endpoint of the version takes work.
     pub fn last_tested(&self, service: &str, version: &str, share: f64, now: Moment) -> Option<u64> {
         let rows = self.rows_of(service).filter(|(_, row)| *row.entry.version == *version);
         let mut orders: Vec<_> = rows
@@ -20,7 +21,9 @@
         Some(*last)
     }
 
-    /// Notes that the endpoints of other versions than the one in use are stopped: they end without saying so.
+    /// Marks the endpoints of all versions but the current one departed.
+    ///
+    /// They are stopped, and do not announce their departure themselves.
     pub fn leave_behind(&mut self, service: &str, version: &str) {
         let rows = self.rows.values_mut().filter(|row| row.entry.service == *service);
         for row in rows.filter(|row| *row.entry.version != *version) {
--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! What is there: endpoints with their loads, VMs, routes, and the store's changes.
+//! Endpoints with their loads, VMs, routes, and updates from the store.
 
 mod deployment;
 mod endpoint_backoff;
@@ -17,13 +17,13 @@
 pub(crate) mod peer_loads;
 mod peer_table;
 mod propagation_plan;
+pub(crate) mod reported_health;
 mod reported_limit;
 mod route_table;
 mod send_report;
 mod shared_weights;
 mod store_event;
 mod store_position;
-pub(crate) mod told_health;
 mod update_fragments;
 mod update_history;
 
--- a/crates/decide/src/fleet/send_report.rs
+++ b/crates/decide/src/fleet/send_report.rs
@@ -1,17 +1,17 @@
-//! How one send to an endpoint went, as VMs report it to one another.
+//! Outcome of one send to an endpoint, as VMs report it to one another.
 
 use crate::{EndpointKey, SendOutcome};
 use serde::{Deserialize, Serialize};
 
-/// How one send went.
+/// Outcome of one send.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SendReport {
-    /// Where it went.
+    /// Endpoint of the send.
     pub key: EndpointKey,
-    /// What came of it.
+    /// Outcome of the send.
     pub outcome: SendOutcome,
-    /// Multiple of the usual time that the first event took, if it came.
+    /// Slowdown: multiple of the usual time that the first event took, if it arrived.
     pub pace: Option<f32>,
-    /// Milliseconds of rest that the endpoint asked the sender for, if it turned the request away with that.
+    /// Backoff that the endpoint asked the sender for when it refused the request, in milliseconds.
     pub rest_millis: Option<u64>,
 }
--- a/crates/decide/src/fleet/shared_weights.rs
+++ b/crates/decide/src/fleet/shared_weights.rs
@@ -1,25 +1,25 @@
-//! Weights of endpoints, each set of them kept once.
+//! Interned weight sets of endpoints.
 //!
-//! Pattern: thousands of engines have the same few sets of weights. A map for each of them takes more memory than all else
-//! that is known of an engine.
+//! Thousands of engines have the same few weight sets. A map of its own for each engine takes more memory
+//! than all its other state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Sets that are kept to be shared: a version and the next one, of some models.
-const SETS_MOST: usize = 8;
+/// Weight sets retained for sharing: a version and the next one, of some models.
+const MAX_SHARED_SETS: usize = 8;
 
-/// The sets of weights that endpoints had last.
+/// The weight sets that endpoints had last.
 #[derive(Debug, Default)]
 pub(crate) struct SharedWeights(Vec<Arc<BTreeMap<String, u64>>>);
 
 impl SharedWeights {
-    /// The same weights, in the copy that others have.
-    pub(crate) fn share(&mut self, weights: Arc<BTreeMap<String, u64>>) -> Arc<BTreeMap<String, u64>> {
-        if let Some(known) = self.0.iter().find(|known| **known == weights) {
-            return Arc::clone(known);
+    /// Returns the retained set that equals `weights`, or retains `weights` itself.
+    pub(crate) fn intern(&mut self, weights: Arc<BTreeMap<String, u64>>) -> Arc<BTreeMap<String, u64>> {
+        if let Some(retained) = self.0.iter().find(|retained| **retained == weights) {
+            return Arc::clone(retained);
         }
-        if self.0.len() >= SETS_MOST {
+        if self.0.len() >= MAX_SHARED_SETS {
             self.0.remove(0);
         }
         self.0.push(Arc::clone(&weights));
--- a/crates/decide/tests/engine_starts.rs
+++ b/crates/decide/tests/engine_starts.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under the id that they had: what belongs to one start holds for no other.
+//! Endpoints that start again under the same id: state of one incarnation does not apply to another.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -9,7 +9,7 @@
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
 
-const PARTS: [PromptSegment; 1] = [PromptSegment { key: 5, tokens: 100 }];
+const SEGMENTS: [PromptSegment; 1] = [PromptSegment { key: 5, tokens: 100 }];
 
 fn at(millis: u64) -> Moment {
     Moment(millis * 1_000)
@@ -34,11 +34,12 @@
     EndpointKey::of_start("i-1", Some(born))
 }
 
-/// A table that knows the start of 1,000, of which much is believed, and then that of 2,000.
-fn restarted(before: impl Fn(&mut FleetTable)) -> FleetTable {
+/// Returns a table with the incarnation started at 1,000, which `prepare` changes, and then that started at
+/// 2,000.
+fn restarted(prepare: impl Fn(&mut FleetTable)) -> FleetTable {
     let mut table = FleetTable::default();
     table.apply_entry(entry(Some(1_000), 1), at(0));
-    before(&mut table);
+    prepare(&mut table);
     assert!(table.apply_entry(entry(Some(2_000), 2), at(10)));
     table
 }
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn a_start_after_one_that_said_it_leaves_gets_work_at_once() {
+fn an_incarnation_after_a_departed_one_gets_work_at_once() {
     let table = restarted(|table| {
         table.apply_entry(EndpointEntry { draining: true, ..entry(Some(1_000), 1) }, at(5));
     });
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn a_start_after_one_whose_entry_went_gets_work_at_once() {
+fn an_incarnation_after_one_whose_entry_was_removed_gets_work_at_once() {
     let table = restarted(|table| {
         table.mark_entry_missing("i-1", Moment(0));
         table.sweep(at(6));
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn neither_ejection_nor_pace_nor_faults_nor_doubt_pass_over_to_the_next_start() {
+fn ejection_slowdown_failures_and_suspicion_do_not_carry_over_to_the_next_incarnation() {
     let table = restarted(|table| {
         for _ in 0..8 {
             table.learn(key(1_000), SendOutcome::Broken, at(4));
@@ -87,21 +88,21 @@
 }
 
 #[test]
-fn what_was_in_flight_or_kept_at_the_earlier_start_is_not_at_the_next_one() {
+fn load_and_cache_of_the_earlier_incarnation_do_not_carry_over_to_the_next_one() {
     let load = LoadCount { running: 3, unread_tokens: 40, memory_tokens: 90 };
     let table = restarted(|table| {
-        table.take(key(1_000), load, &PARTS, 7);
+        table.take(key(1_000), load, &SEGMENTS, 7);
         table.apply_peer_loads(LoadSource::Vm(VmKey::of("a")), &[(key(1_000), load)], at(5));
     });
     let row = table.row(key(2_000)).unwrap();
     assert_eq!(row.load(at(10)), LoadCount::default());
-    assert_eq!(row.kept.leading(&PARTS, 7), 0);
-    // What still runs at the earlier start is counted there until it has ended.
+    assert_eq!(row.kept.leading(&SEGMENTS, 7), 0);
+    // Work that still runs at the earlier incarnation is counted there until it finishes.
     assert_eq!(table.row(key(1_000)).unwrap().own, load);
 }
 
 #[test]
-fn weights_are_those_that_the_new_start_lists_even_if_they_are_older() {
+fn weights_are_those_that_the_new_incarnation_lists_even_if_they_are_older() {
     let mut table = FleetTable::default();
     table.apply_entry(entry(Some(1_000), 1), at(0));
     table.set_weights(key(1_000), &BTreeMap::from([("m".to_owned(), 7)]), at(1));
@@ -110,53 +111,53 @@
 }
 
 #[test]
-fn words_of_an_earlier_start_that_come_late_change_nothing() {
+fn late_messages_of_an_earlier_incarnation_change_nothing() {
     let mut table = restarted(|_| {});
     assert!(!table.apply_entry(EndpointEntry { draining: true, ..entry(Some(1_000), 9) }, at(20)));
     let load = LoadCount { running: 9, ..LoadCount::default() };
     table.apply_peer_loads(LoadSource::Vm(VmKey::of("a")), &[(key(1_000), load)], at(21));
     table.raise_weights(key(1_000), spanfold_decide::short_digest("m"), 9, true, at(22));
     table.cordon_as_reported(key(1_000), at(900), true);
-    table.record_segments(key(1_000), &PARTS, 7);
+    table.record_segments(key(1_000), &SEGMENTS, 7);
     table.learn(key(1_000), SendOutcome::Broken, at(23));
     let row = table.row(key(2_000)).unwrap();
     assert!(takes_work(&table, key(2_000), 24) && !row.is_closing(at(24)));
     assert_eq!((row.entry.weights["m"], row.load(at(24)).running), (2, 0));
-    assert_eq!(row.kept.leading(&PARTS, 7), 0);
+    assert_eq!(row.kept.leading(&SEGMENTS, 7), 0);
 }
 
 #[test]
-fn an_entry_of_the_same_start_goes_on_with_what_is_believed() {
+fn an_entry_of_the_same_incarnation_retains_its_state() {
     let mut table = FleetTable::default();
     table.apply_entry(entry(Some(1_000), 1), at(0));
-    table.take(key(1_000), LoadCount { running: 1, ..LoadCount::default() }, &PARTS, 7);
+    table.take(key(1_000), LoadCount { running: 1, ..LoadCount::default() }, &SEGMENTS, 7);
     assert!(!table.apply_entry(entry(Some(1_000), 1), at(1)));
     assert_eq!(table.row(key(1_000)).unwrap().own.running, 1);
 }
 
 #[test]
-fn a_removed_entry_is_the_newest_starts() {
+fn a_removed_entry_is_that_of_the_newest_incarnation() {
     let mut table = restarted(|_| {});
     table.mark_entry_missing("i-1", Moment(0));
     assert!(!takes_work(&table, key(2_000), 20));
 }
 
 #[test]
-fn where_starts_are_told_an_entry_without_one_is_of_another_writer() {
+fn an_entry_without_a_start_time_is_ignored_where_endpoints_state_theirs() {
     let mut table = FleetTable::default();
-    let other = EndpointEntry { id: "i-2".into(), ..entry(None, 1) };
-    assert!(!table.lacks_start(&other));
-    table.apply_entry(other.clone(), at(0));
+    let undated = EndpointEntry { id: "i-2".into(), ..entry(None, 1) };
+    assert!(!table.lacks_start(&undated));
+    table.apply_entry(undated.clone(), at(0));
     assert!(takes_work(&table, EndpointKey::of("i-2"), 1));
     table.apply_entry(entry(Some(1_000), 1), at(2));
-    assert!(table.lacks_start(&other));
+    assert!(table.lacks_start(&undated));
     assert!(!takes_work(&table, EndpointKey::of("i-2"), 3) && takes_work(&table, key(1_000), 3));
     assert!(!table.apply_entry(entry(None, 9), at(4)));
     assert!(takes_work(&table, key(1_000), 5));
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_takes_its_endpoint_out_until_one_that_can_follows() {
+fn an_unreadable_entry_excludes_its_endpoint_until_a_readable_one_follows() {
     let mut table = FleetTable::default();
     table.apply_entry(entry(Some(1_000), 1), at(0));
     assert!(table.set_unreadable("i-1") && !table.set_unreadable("i-1"));
@@ -167,7 +168,7 @@
     assert!(!table.clear_unreadable("i-1"));
 }
 
-/// What happens to one entry of three.
+/// Change of one of three entries.
 #[derive(Clone, Debug)]
 enum EntryChange {
     Written { id: usize, born: u64, is_draining: bool },
@@ -184,14 +185,15 @@
 }
 
 #[test]
-fn no_endpoint_is_in_use_whose_last_entry_is_not_a_readable_one_of_its_newest_start() {
+fn an_endpoint_gets_work_only_if_its_last_entry_is_a_readable_one_of_its_newest_incarnation() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let mut runner = TestRunner::new_with_rng(Config::with_cases(512), rng);
     runner
         .run(&changes(), |changes| {
             let mut table = FleetTable::default();
-            // By id: the newest start that was written, and whether its last entry names it.
-            let mut model: [(u64, bool); 3] = Default::default();
+            // By id: the newest start time that was written, and whether the last entry lists that
+            // incarnation.
+            let mut expected: [(u64, bool); 3] = Default::default();
             for (step, change) in changes.iter().enumerate() {
                 let now = at(step as u64);
                 match *change {
@@ -200,29 +202,30 @@
                         table.clear_unreadable(&name);
                         let draining = is_draining;
                         table.apply_entry(EndpointEntry { id: name, draining, ..entry(Some(born), 1) }, now);
-                        let (newest, is_named) = &mut model[id];
-                        let stays_out = *newest == born && !*is_named;
+                        let (newest, is_listed) = &mut expected[id];
+                        let stays_excluded = *newest == born && !*is_listed;
                         if born >= *newest {
-                            // One that said it leaves does not come back; any other may be written again.
-                            let stays_out = stays_out && is_out_for_good(&table, id, born);
-                            *is_named = !is_draining && !stays_out;
+                            // An incarnation that announced its departure does not return; any other entry
+                            // may be written again.
+                            let stays_excluded = stays_excluded && has_departed(&table, id, born);
+                            *is_listed = !is_draining && !stays_excluded;
                             *newest = born;
                         }
                     }
                     EntryChange::Unreadable { id } => {
                         table.set_unreadable(&format!("i-{id}"));
-                        model[id].1 = false;
+                        expected[id].1 = false;
                     }
                     EntryChange::Removed { id } => {
                         table.mark_entry_missing(&format!("i-{id}"), Moment(0));
-                        model[id].1 = false;
+                        expected[id].1 = false;
                     }
                 }
-                for (id, (newest, is_named)) in model.iter().enumerate() {
+                for (id, (newest, is_listed)) in expected.iter().enumerate() {
                     for born in 1..4 {
                         let key = EndpointKey::of_start(&format!("i-{id}"), Some(born));
                         let is_used = table.row(key).is_some_and(|row| !row.is_departing(now));
-                        prop_assert!(!is_used || (born == *newest && *is_named), "{id} {born}: {changes:?}");
+                        prop_assert!(!is_used || (born == *newest && *is_listed), "{id} {born}: {changes:?}");
                     }
                 }
             }
@@ -231,8 +234,8 @@
         .unwrap();
 }
 
-/// Whether a start has said that it leaves.
-fn is_out_for_good(table: &FleetTable, id: usize, born: u64) -> bool {
+/// Whether an incarnation has announced its departure.
+fn has_departed(table: &FleetTable, id: usize, born: u64) -> bool {
     let key = EndpointKey::of_start(&format!("i-{id}"), Some(born));
     table.row(key).is_some_and(|row| row.entry.draining)
 }
--- a/crates/decide/tests/shared_fleet/mod.rs
+++ b/crates/decide/tests/shared_fleet/mod.rs
@@ -1,4 +1,6 @@
-//! VMs that all have more requests than one endpoint takes from all of them together, with lists of one another that age.
+//! Simulation of VMs that share an endpoint which takes fewer requests than they have.
+//!
+//! Each VM has its own list of the VMs, which lags behind the store.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -8,142 +10,143 @@
 use spanfold_entity::Moment;
 use std::collections::VecDeque;
 
-/// Step of the simulated time, in milliseconds.
+/// Step of the simulated time.
 const STEP_MILLIS: u64 = 10;
-/// Leases of the first VMs by name, and of the others, in milliseconds.
+/// Leases of the first VMs by name, and of the others.
 const LEASE_MILLIS: [u64; 2] = [2_500, 10_000];
-const SAFETY_MILLIS: u64 = 800;
-const RENEW_MILLIS: [u64; 2] = [700, 2_800];
-/// VMs with short leases.
-const CANDIDATES: usize = 4;
-/// VMs in touch hear of the store at least this often, and of what it held up to as long ago.
-const NEWS_MILLIS: u64 = 900;
-/// A VM that was struck counts as struck for this long after that, in milliseconds.
-const TOUCH_MILLIS: u64 = 3_000;
+const LEASE_MARGIN_MILLIS: u64 = 800;
+const RENEWAL_INTERVAL_MILLIS: [u64; 2] = [700, 2_800];
+/// Number of VMs with short leases.
+const SHORT_LEASE_VMS: usize = 4;
+/// Longest interval between an unaffected VM's updates from the store, and largest age of an update.
+const MAX_UPDATE_MILLIS: u64 = 900;
+/// Time for which a VM counts as affected after a fault is over.
+const FAULT_EFFECT_MILLIS: u64 = 3_000;
 
-/// Requests in a window that a VM may send to the endpoint now.
+/// Returns how many requests a VM may send to the endpoint in the current window.
 pub type ShareWay = fn(&FleetVm, &Scene, Moment) -> u64;
 
-/// The endpoint, and what it takes.
+/// Endpoint and its limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Scene {
     pub endpoint: EndpointKey,
     pub data_centre: &'static str,
     pub terms: RateTerms,
-    /// Length of the span in which requests are counted, in milliseconds.
+    /// Length of the span in which requests are counted.
     pub span_millis: u64,
 }
 
-/// What can befall the VMs.
+/// Faults that are injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
     None,
-    /// VMs are cut off from the store, many at once and for up to a minute, and go on serving.
+    /// VMs are cut off from the store, many at once and for up to a minute, and continue to serve.
     Cuts,
-    /// VMs are killed, cut off from the store, frozen, added and removed, many at once; the store is away.
+    /// VMs are killed, cut off from the store, frozen, added and removed, many at once; the store is
+    /// unavailable.
     Any,
 }
 
-/// One VM as it sees the others.
+/// One VM with its view of the others.
 #[derive(Debug)]
 pub struct FleetVm {
     pub standing: ListMembership,
-    /// Its right, as of its last news.
+    /// Its right, as of its last update.
     pub right: ShareRight,
-    /// Its part, as of its last news.
+    /// Its share, as of its last update.
     pub part: u64,
-    book: PeerTable,
-    /// Whether it knows each VM's entry, by the VM's number.
-    known: Vec<bool>,
+    peer_table: PeerTable,
+    /// Whether its list contains each VM's entry, by the VM's number.
+    listed: Vec<bool>,
     sends: RecentSends,
     /// Its number, in the order in which VMs were added.
-    rank: usize,
+    number: usize,
     confirmed_at: Moment,
-    next_news: Moment,
-    next_renewal: Moment,
+    next_update_at: Moment,
+    next_renewal_at: Moment,
     down_until: Moment,
     cut_until: Moment,
     frozen_until: Moment,
 }
 
 impl FleetVm {
-    fn new(entry: &VmEntry, rank: usize, now: Moment) -> Self {
+    fn new(entry: &VmEntry, number: usize, now: Moment) -> Self {
         let own = VmKey::of(&entry.name);
         Self {
             standing: ListMembership::default(),
             right: ShareRight::alone(own, &entry.data_centre),
             part: 0,
-            book: PeerTable::new(entry.clone()),
-            known: Vec::new(),
+            peer_table: PeerTable::new(entry.clone()),
+            listed: Vec::new(),
             sends: RecentSends::default(),
-            rank,
+            number,
             confirmed_at: Moment(0),
-            next_news: now,
-            next_renewal: now,
+            next_update_at: now,
+            next_renewal_at: now,
             down_until: Moment(0),
             cut_until: Moment(0),
             frozen_until: Moment(0),
         }
     }
 
-    fn acts(&self, now: Moment) -> bool {
+    fn is_running(&self, now: Moment) -> bool {
         now >= self.down_until && now >= self.frozen_until
     }
 
-    /// Whether nothing has befallen it lately.
-    fn is_in_touch(&self, now: Moment) -> bool {
-        let struck = self.down_until.max(self.cut_until).max(self.frozen_until);
-        struck == Moment(0) || now >= struck.after_millis(TOUCH_MILLIS)
+    /// Whether it had no fault recently.
+    fn is_unaffected(&self, now: Moment) -> bool {
+        let fault_end = self.down_until.max(self.cut_until).max(self.frozen_until);
+        fault_end == Moment(0) || now >= fault_end.after_millis(FAULT_EFFECT_MILLIS)
     }
 
-    /// Renews its lease, and hears of the list as it was a short while ago.
-    fn ask(&mut self, store: &mut StoreList, random: &mut SmallRng, scene: &Scene, now: Moment) {
-        if now < self.cut_until || now < store.away_until {
+    /// Renews its lease, and applies the list as the store contained it a short time ago.
+    fn poll_store(&mut self, store: &mut StoreList, random: &mut SmallRng, scene: &Scene, now: Moment) {
+        if now < self.cut_until || now < store.unavailable_until {
             return;
         }
-        let terms = usize::from(self.rank >= CANDIDATES);
-        if now >= self.next_renewal {
-            self.next_renewal = now.after_millis(RENEW_MILLIS[terms]);
-            store.renew(self.rank, LEASE_MILLIS[terms], now);
-            self.standing.list_until(now.after_millis(LEASE_MILLIS[terms] - SAFETY_MILLIS), now);
+        let lease_index = usize::from(self.number >= SHORT_LEASE_VMS);
+        if now >= self.next_renewal_at {
+            self.next_renewal_at = now.after_millis(RENEWAL_INTERVAL_MILLIS[lease_index]);
+            store.renew(self.number, LEASE_MILLIS[lease_index], now);
+            self.standing.list_until(now.after_millis(LEASE_MILLIS[lease_index] - LEASE_MARGIN_MILLIS), now);
         }
-        if now >= self.next_news {
-            self.next_news = now.after_millis(random.random_range(100..NEWS_MILLIS));
-            let age = random.random_range(0..NEWS_MILLIS);
+        if now >= self.next_update_at {
+            self.next_update_at = now.after_millis(random.random_range(100..MAX_UPDATE_MILLIS));
+            let age = random.random_range(0..MAX_UPDATE_MILLIS);
             let confirmed_at = Moment(now.0.saturating_sub(age * 1_000)).max(self.confirmed_at);
             self.confirmed_at = confirmed_at;
             self.standing.record_list_confirmation(confirmed_at);
-            self.take_list(store, now);
-            self.right = self.book.share_right(&self.standing, now);
+            self.apply_list(store, now);
+            self.right = self.peer_table.share_right(&self.standing, now);
             self.part = self.right.part(scene.endpoint, scene.data_centre, &scene.terms);
         }
     }
 
-    fn take_list(&mut self, store: &StoreList, now: Moment) {
-        self.known.resize(store.rows.len(), false);
-        for (known, (entry, spans)) in self.known.iter_mut().zip(&store.rows) {
+    fn apply_list(&mut self, store: &StoreList, now: Moment) {
+        self.listed.resize(store.rows.len(), false);
+        for (was_listed, (entry, spans)) in self.listed.iter_mut().zip(&store.rows) {
             let is_listed =
                 spans.iter().any(|(from, until)| *from <= self.confirmed_at && self.confirmed_at < *until);
-            match (*known, is_listed) {
-                (false, true) => self.book.list_at(entry.clone(), now),
-                (true, false) => self.book.unlist(&entry.name, now),
+            match (*was_listed, is_listed) {
+                (false, true) => self.peer_table.list_at(entry.clone(), now),
+                (true, false) => self.peer_table.unlist(&entry.name, now),
                 _ => continue,
             }
-            *known = is_listed;
+            *was_listed = is_listed;
         }
-        self.book.sweep(now);
+        self.peer_table.sweep(now);
     }
 }
 
-/// Times in which an entry stood.
+/// Periods in which an entry was stored.
 type EntrySpans = VecDeque<(Moment, Moment)>;
 
-/// The entries of VMs, with the times in which each stood.
+/// Entries of VMs, with the periods in which each was stored.
 #[derive(Debug, Default)]
 struct StoreList {
     /// By the VM's number.
     rows: Vec<(VmEntry, EntrySpans)>,
-    away_until: Moment,
+    unavailable_until: Moment,
 }
 
 impl StoreList {
@@ -157,21 +160,21 @@
         }
     }
 
-    /// Goes away; leases wait until it is back, or run out meanwhile.
-    fn go_away(&mut self, until: Moment, leases_wait: bool, now: Moment) {
-        self.away_until = until;
-        if !leases_wait {
+    /// Makes the store unavailable; leases are extended by the outage, or expire meanwhile.
+    fn begin_outage(&mut self, until: Moment, extends_leases: bool, now: Moment) {
+        self.unavailable_until = until;
+        if !extends_leases {
             return;
         }
-        let pause = until.micros_since(now);
+        let outage_micros = until.micros_since(now);
         let ends = self.rows.iter_mut().filter_map(|(_, spans)| spans.back_mut());
         for (_, end) in ends.filter(|(_, end)| now < *end) {
-            *end = end.after_micros(pause);
+            *end = end.after_micros(outage_micros);
         }
     }
 }
 
-/// Requests that reached the endpoint in the fullest span, those of VMs in touch alone, and in a second in the mean.
+/// Requests at the endpoint: largest number in a span, that of unaffected VMs alone, and mean in a second.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointLoad {
     pub most: usize,
@@ -179,11 +182,11 @@
     pub mean: f64,
 }
 
-/// The deployment while it is played.
+/// State of the simulated deployment.
 struct Fleet {
     vms: Vec<FleetVm>,
     centres: usize,
-    /// VMs that have been added, ever.
+    /// Number of VMs that were ever added.
     added: usize,
 }
 
@@ -202,39 +205,39 @@
     }
 }
 
-/// Plays `seconds` of `vms` VMs in so many data centres that all send what `way` lets them.
+/// Simulates `seconds` of `vms` VMs in `centres` data centres that all send as much as `share_rule` allows.
 pub fn play(
-    way: ShareWay,
+    share_rule: ShareWay,
     (vms, centres): (usize, usize),
     scene: &Scene,
-    trouble: Trouble,
+    faults: Trouble,
     (seconds, seed): (u64, u64),
 ) -> EndpointLoad {
     let mut random = SmallRng::seed_from_u64(seed);
     let scene = Scene { endpoint: EndpointKey(random.random()), ..*scene };
     let mut store = StoreList::default();
-    let begin = Moment(60_000_000);
+    let start = Moment(60_000_000);
     let mut fleet = Fleet { vms: Vec::new(), centres, added: 0 };
     for _ in 0..vms {
-        fleet.add(&mut store, begin);
+        fleet.add(&mut store, start);
     }
     let mut sent: VecDeque<(Moment, bool)> = VecDeque::new();
     let (mut most, mut most_in_touch, mut total) = (0, 0, 0_u32);
     for step in 0..seconds * 1_000 / STEP_MILLIS {
-        let now = begin.after_millis(step * STEP_MILLIS);
-        if trouble == Trouble::Any && random.random_bool(0.01) {
-            strike(&mut fleet, &mut store, &mut random, now);
+        let now = start.after_millis(step * STEP_MILLIS);
+        if faults == Trouble::Any && random.random_bool(0.01) {
+            inject_fault(&mut fleet, &mut store, &mut random, now);
         }
-        if trouble == Trouble::Cuts && random.random_bool(0.001) {
+        if faults == Trouble::Cuts && random.random_bool(0.001) {
             let until = now.after_millis(random.random_range(500..60_000));
-            cut_some(&mut fleet, &mut random, until);
+            cut_off_vms(&mut fleet, &mut random, until);
         }
-        for vm in fleet.vms.iter_mut().filter(|vm| vm.acts(now)) {
-            vm.ask(&mut store, &mut random, &scene, now);
-            let part = way(vm, &scene, now);
-            while vm.sends.next_at(part, scene.terms.window_millis, now) == Some(now) {
+        for vm in fleet.vms.iter_mut().filter(|vm| vm.is_running(now)) {
+            vm.poll_store(&mut store, &mut random, &scene, now);
+            let share = share_rule(vm, &scene, now);
+            while vm.sends.next_at(share, scene.terms.window_millis, now) == Some(now) {
                 vm.sends.push(scene.terms.window_millis, now);
-                sent.push_back((now, vm.is_in_touch(now)));
+                sent.push_back((now, vm.is_unaffected(now)));
                 total += 1;
             }
         }
@@ -242,13 +245,13 @@
             sent.pop_front();
         }
         most = most.max(sent.len());
-        most_in_touch = most_in_touch.max(sent.iter().filter(|(_, is_in_touch)| *is_in_touch).count());
+        most_in_touch = most_in_touch.max(sent.iter().filter(|(_, is_unaffected)| *is_unaffected).count());
     }
     EndpointLoad { most, most_in_touch, mean: f64::from(total) / seconds as f64 }
 }
 
-/// Cuts some of the VMs off from the store.
-fn cut_some(fleet: &mut Fleet, random: &mut SmallRng, until: Moment) {
+/// Cuts a random share of the VMs off from the store.
+fn cut_off_vms(fleet: &mut Fleet, random: &mut SmallRng, until: Moment) {
     let share = random.random_range(0.0..1.0);
     for vm in &mut fleet.vms {
         if random.random_bool(share) {
@@ -257,8 +260,8 @@
     }
 }
 
-/// Lets something befall some of the VMs, or the store.
-fn strike(fleet: &mut Fleet, store: &mut StoreList, random: &mut SmallRng, now: Moment) {
+/// Injects a random fault at a random share of the VMs, or at the store.
+fn inject_fault(fleet: &mut Fleet, store: &mut StoreList, random: &mut SmallRng, now: Moment) {
     let share = if random.random_bool(0.2) { 1.0 } else { random.random_range(0.0..0.6) };
     let until = now.after_millis(random.random_range(500..30_000));
     let kind = random.random_range(0..6);
@@ -270,7 +273,7 @@
         return;
     }
     if kind == 5 {
-        store.go_away(until, random.random_bool(0.5), now);
+        store.begin_outage(until, random.random_bool(0.5), now);
         return;
     }
     for vm in &mut fleet.vms {
@@ -279,9 +282,9 @@
         }
         match kind {
             0 => {
-                // A process that starts again knows nothing, and its VM's name is the same.
-                let started = FleetVm::new(vm.book.own(), vm.rank, now);
-                *vm = FleetVm { down_until: now.after_millis(random.random_range(300..3_000)), ..started };
+                // A restarted process has no state, and its VM keeps its name.
+                let restarted = FleetVm::new(vm.peer_table.own(), vm.number, now);
+                *vm = FleetVm { down_until: now.after_millis(random.random_range(300..3_000)), ..restarted };
             }
             1 | 2 => vm.cut_until = until,
             _ => vm.frozen_until = now.after_millis(random.random_range(300..4_000)),
--- a/crates/decide/tests/table_memory.rs
+++ b/crates/decide/tests/table_memory.rs
@@ -1,6 +1,6 @@
-//! What the table of endpoints takes in memory at the size of thousands: a law in bytes a row.
+//! Memory of the endpoint table with thousands of rows: a bound in bytes a row.
 //!
-//! A process of its own, so that nothing else allocates meanwhile.
+//! The test has a process of its own, so that nothing else allocates meanwhile.
 
 use spanfold_decide::{EndpointEntry, FleetTable, LoadCount, LoadSource, PromptSegment, VmKey};
 use spanfold_entity::Moment;
@@ -8,13 +8,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Endpoints: twice those of the largest deployment.
+/// Number of endpoints: twice that of the largest deployment.
 const ROWS: usize = 20_000;
-/// Bytes that a row may take, its key and its id included.
-const ROW_BYTES: usize = 1_100;
-/// Bytes that a row may take besides once work ran there and some parts are kept.
-const USED_BYTES: usize = 400;
-/// Bytes of a page of memory.
+/// Largest memory of a row with its key and id.
+const MAX_ROW_BYTES: usize = 1_100;
+/// Largest additional memory of a row after work ran there and some segments are cached.
+const MAX_USED_BYTES: usize = 400;
+/// Size of a memory page.
 const PAGE_BYTES: usize = 4_096;
 
 fn resident_bytes() -> usize {
@@ -22,7 +22,7 @@
     statm.split(' ').nth(1).unwrap().parse::<usize>().unwrap() * PAGE_BYTES
 }
 
-/// An entry as it is decoded: nothing of it is shared with others.
+/// Returns an entry as decoded, which shares no memory with others.
 fn entry(number: usize) -> EndpointEntry {
     EndpointEntry {
         id: format!("i-{number:010x}"),
@@ -39,25 +39,25 @@
 }
 
 #[test]
-fn a_row_takes_a_bounded_part_of_a_small_vms_memory() {
-    let before = resident_bytes();
+fn a_row_takes_bounded_memory() {
+    let empty_bytes = resident_bytes();
     let mut table = FleetTable::default();
     for number in 0..ROWS {
         assert!(table.apply_entry(entry(number), Moment(1)));
     }
-    let row_bytes = (resident_bytes() - before) / ROWS;
-    assert!(row_bytes <= ROW_BYTES, "{row_bytes} bytes a row");
+    let row_bytes = (resident_bytes() - empty_bytes) / ROWS;
+    assert!(row_bytes <= MAX_ROW_BYTES, "{row_bytes} bytes a row");
 
-    let listed = resident_bytes();
+    let listed_bytes = resident_bytes();
     let keys: Vec<_> = table.rows().map(|(key, _)| key).collect();
-    let parts: Vec<_> = (0..6).map(|number| PromptSegment { key: number, tokens: 500 }).collect();
+    let segments: Vec<_> = (0..6).map(|number| PromptSegment { key: number, tokens: 500 }).collect();
     let load = LoadCount { running: 1, unread_tokens: 100, memory_tokens: 200 };
     for (number, key) in keys.iter().enumerate() {
-        table.take(*key, load, &parts, number as u64);
+        table.take(*key, load, &segments, number as u64);
         let source = LoadSource::Vm(VmKey(number as u64 % 7));
         table.apply_peer_loads(source, &[(*key, load)], Moment(2));
         table.release(*key, load);
     }
-    let used_bytes = resident_bytes().saturating_sub(listed) / ROWS;
-    assert!(used_bytes <= USED_BYTES, "{used_bytes} bytes more a row in use");
+    let used_bytes = resident_bytes().saturating_sub(listed_bytes) / ROWS;
+    assert!(used_bytes <= MAX_USED_BYTES, "{used_bytes} bytes more a row in use");
 }
