--- a/crates/decide/examples/placement_cost.rs
+++ b/crates/decide/examples/placement_cost.rs
@@ -1,6 +1,6 @@
-//! What one choice of an endpoint, one digest of a peer and one lead's sum cost, by the size of the deployment.
+//! Measures the time of placements, digests and load sums by deployment size.
 //!
-//! Prints a table; the figures of `docs/CAPACITY.md` come from it.
+//! Prints a table, from which the figures of `docs/CAPACITY.md` come.
 
 use spanfold_decide::{
     CacheChange, CacheUpdate, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable,
@@ -17,33 +17,33 @@
 const MEMORY_TOKENS: u64 = 40_000;
 const NOW: Moment = Moment(1_000_000);
 
-/// How large a deployment is.
+/// Size of a deployment.
 #[derive(Clone, Copy, Debug)]
 struct FleetSize {
     vms: usize,
     data_centres: usize,
     engines: usize,
     stores: usize,
-    /// Parts that each store holds.
-    parts: u64,
+    /// Cached segments in each store.
+    segments: u64,
 }
 
 const SIZES: [FleetSize; 4] = [
-    FleetSize { vms: 9, data_centres: 3, engines: 18, stores: 5, parts: 100 },
-    FleetSize { vms: 91, data_centres: 4, engines: 60, stores: 18, parts: 100 },
-    FleetSize { vms: 295, data_centres: 5, engines: 256, stores: 58, parts: 200 },
-    FleetSize { vms: 420, data_centres: 17, engines: 5_500, stores: 300, parts: 200 },
+    FleetSize { vms: 9, data_centres: 3, engines: 18, stores: 5, segments: 100 },
+    FleetSize { vms: 91, data_centres: 4, engines: 60, stores: 18, segments: 100 },
+    FleetSize { vms: 295, data_centres: 5, engines: 256, stores: 58, segments: 200 },
+    FleetSize { vms: 420, data_centres: 17, engines: 5_500, stores: 300, segments: 200 },
 ];
 
 fn main() {
     println!("vms engines stores | place, nothing kept us | place, kept us | VM digest us | lead's sum us");
     for size in SIZES {
         let mut table = fleet(size);
-        let unknown = timed(|round| {
+        let uncached = timed(|round| {
             black_box(choose(&table, u64::from(round) + 1_000_000));
         });
-        let known = timed(|round| {
-            black_box(choose(&table, u64::from(round) % size.parts));
+        let cached = timed(|round| {
+            black_box(choose(&table, u64::from(round) % size.segments));
         });
         let vms = (size.vms / size.data_centres) as u64;
         let digest = timed(|round| {
@@ -54,36 +54,36 @@
         });
         let sum = timed(|_| drop(black_box(table.loads_of(|_| true, NOW))));
         println!(
-            "{:3} {:7} {:6} | {unknown:22.1} | {known:14.1} | {digest:12.1} | {sum:13.1}",
+            "{:3} {:7} {:6} | {uncached:22.1} | {cached:14.1} | {digest:12.1} | {sum:13.1}",
             size.vms, size.engines, size.stores
         );
     }
 }
 
-/// Mean time of a step in microseconds.
+/// Returns the mean time of a step in microseconds.
 fn timed(mut step: impl FnMut(u32)) -> f64 {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for round in 0..ROUNDS {
         step(round);
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
+    started_at.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
 
 fn engine_key(engine: usize) -> EndpointKey {
     EndpointKey::of(&format!("engine-{engine}"))
 }
 
-fn choose(table: &FleetTable, thing: u64) -> Option<EndpointKey> {
-    let parts = [
+fn choose(table: &FleetTable, document: u64) -> Option<EndpointKey> {
+    let segments = [
         PromptSegment { key: 7, tokens: 2_500 },
-        PromptSegment { key: 1_000 + thing, tokens: 5_000 },
+        PromptSegment { key: 1_000 + document, tokens: 5_000 },
         PromptSegment { key: u64::MAX, tokens: 1_600 },
     ];
-    let ask = PlacementRequest {
+    let request = PlacementRequest {
         service: "llm",
         data_centre: "dc-0",
         silent: &[],
-        parts: &parts,
+        parts: &segments,
         prompt_tokens: 9_100,
         output_tokens: 10,
         objective_millis: 500,
@@ -98,10 +98,12 @@
         shares: ShareView::default(),
         draw: rand::random,
     };
-    place(table, &ask, NOW).map(|choice| choice.key)
+    place(table, &request, NOW).map(|choice| choice.key)
 }
 
-/// A fleet under load: each engine runs prompts of three VMs of its data centre and of each other data centre.
+/// Returns a fleet under load.
+///
+/// Each engine runs prompts of three VMs of its data centre and of each other data centre.
 fn fleet(size: FleetSize) -> FleetTable {
     let mut table = FleetTable::default();
     table.set_services(&DeploymentConfig { services: services(size), ..DeploymentConfig::default() });
@@ -162,15 +164,15 @@
 
 fn fill_stores(table: &mut FleetTable, size: FleetSize) {
     let salt = salt_text("shared", "m", 1);
-    for (place, store) in (0..size.stores).enumerate() {
-        let changes = (0..size.parts).map(|part| {
-            // All hold the first part; the others lie in one store each.
-            let key = if part == 0 { 7 } else { 1_000 + part * size.stores as u64 + place as u64 };
+    for (index, store) in (0..size.stores).enumerate() {
+        let changes = (0..size.segments).map(|segment| {
+            // All stores contain the first segment; each other segment is in one store.
+            let key = if segment == 0 { 7 } else { 1_000 + segment * size.stores as u64 + index as u64 };
             CacheChange { salt: salt.clone(), part: key, segment_text: String::new(), tokens: 5_000 }
         });
-        let news = CacheUpdate { incarnation: 1, changes: changes.collect(), ..CacheUpdate::default() };
+        let update = CacheUpdate { incarnation: 1, changes: changes.collect(), ..CacheUpdate::default() };
         if let Some(row) = table.store_mut(EndpointKey::of(&format!("store-{store}"))) {
-            row.replace(&news, Moment::NEVER);
+            row.replace(&update, Moment::NEVER);
         }
     }
 }
--- a/crates/decide/examples/share_ways.rs
+++ b/crates/decide/examples/share_ways.rs
@@ -1,4 +1,6 @@
-//! Ways to keep what all VMs send to an endpoint below a limit, without a message for each request, compared.
+//! Compares strategies that keep the requests of all VMs to an endpoint below its limit.
+//!
+//! None of the strategies needs a message for each request.
 //!
 //! `cargo run --release -p spanfold-decide --example share_ways`
 
@@ -9,63 +11,64 @@
 use spanfold_decide::{EndpointKey, RateTerms};
 use spanfold_entity::Moment;
 
-/// Histories that each way is played through, for each size.
+/// Simulated histories for each strategy and size.
 const HISTORIES: u64 = 8;
-const SECONDS: u64 = 60;
-/// Span in which requests are counted, in milliseconds.
-const SPAN_MILLIS: u64 = 4_000;
+const HISTORY_SECONDS: u64 = 60;
+/// Length of the window in which requests are counted, in milliseconds.
+const WINDOW_MILLIS: u64 = 4_000;
 
-/// The way that is built: some VMs, each with its part, on lists that change slowly.
-fn own_part(vm: &FleetVm, _: &Scene, now: Moment) -> u64 {
+/// The strategy of the gateway: shares for some VMs, by VM lists that change slowly.
+fn own_share(vm: &FleetVm, _: &Scene, now: Moment) -> u64 {
     if vm.standing.holds(now) { vm.part } else { 0 }
 }
 
-/// The same on any list, however old, also before the others know of the VM.
+/// The same with VM lists of any age, also before other VMs list this VM.
 fn any_list(vm: &FleetVm, _: &Scene, _: Moment) -> u64 {
     vm.part
 }
 
-/// An equal part for each VM, at least one request.
-fn equal_parts(vm: &FleetVm, scene: &Scene, _: Moment) -> u64 {
+/// An equal share for each VM, at least one request.
+fn equal_shares(vm: &FleetVm, scene: &Scene, _: Moment) -> u64 {
     (scene.terms.count / (vm.right.all.len() as u64 + 1)).max(1)
 }
 
-/// All of it for one VM, the first by name that it knows of.
+/// The whole limit for one VM, the first by key in its list.
 fn one_sender(vm: &FleetVm, scene: &Scene, _: Moment) -> u64 {
     let is_first = vm.right.all.iter().all(|other| vm.right.own < *other);
     if is_first { scene.terms.count } else { 0 }
 }
 
 fn main() {
-    let ways: [(&str, ShareWay); 4] = [
-        ("parts, slow lists", own_part),
+    let strategies: [(&str, ShareWay); 4] = [
+        ("parts, slow lists", own_share),
         ("parts, any list", any_list),
-        ("equal parts", equal_parts),
+        ("equal parts", equal_shares),
         ("one sender, any list", one_sender),
     ];
     println!(
         "{:22} {:>5} {:>7} {:>8}  {:>5} {:>7}  {:>8} {:>9} {:>6}",
         "way", "VMs", "limit", "allowed", "calm", "used", "trouble", "in touch", "used"
     );
-    for (name, way) in ways {
+    for (name, strategy) in strategies {
         for size in [(3, 3), (9, 3), (91, 4), (295, 5), (420, 17)] {
             for per_s in [0.2, 1.4, 11.0, 100.0] {
-                print_row(name, way, size, per_s);
+                print_row(name, strategy, size, per_s);
             }
         }
     }
 }
 
-fn print_row(name: &str, way: ShareWay, size: (usize, usize), per_s: f64) {
+fn print_row(name: &str, strategy: ShareWay, size: (usize, usize), per_s: f64) {
     let terms = RateTerms::of_limit(per_s);
-    let scene = Scene { endpoint: EndpointKey(0), data_centre: "dc-0", terms, span_millis: SPAN_MILLIS };
-    let calm = play(way, size, &scene, Trouble::None, (SECONDS, 1));
-    let loads: Vec<_> =
-        (0..HISTORIES).map(|seed| play(way, size, &scene, Trouble::Any, (SECONDS, seed))).collect();
+    let scene = Scene { endpoint: EndpointKey(0), data_centre: "dc-0", terms, span_millis: WINDOW_MILLIS };
+    let calm = play(strategy, size, &scene, Trouble::None, (HISTORY_SECONDS, 1));
+    let loads: Vec<_> = (0..HISTORIES)
+        .map(|seed| play(strategy, size, &scene, Trouble::Any, (HISTORY_SECONDS, seed)))
+        .collect();
     let most = loads.iter().map(|load| load.most).max().unwrap_or_default();
     let in_touch = loads.iter().map(|load| load.most_in_touch).max().unwrap_or_default();
     let mean = loads.iter().map(|load| load.mean).sum::<f64>() / HISTORIES as f64;
-    let allowed = per_s * 1.5 * SPAN_MILLIS as f64 / 1_000.0 + 5.0;
+    let allowed = per_s * 1.5 * WINDOW_MILLIS as f64 / 1_000.0 + 5.0;
     println!(
         "{name:22} {:>5} {per_s:>7} {allowed:>8.0}  {:>5} {:>7.2}  {most:>8} {in_touch:>9} {:>6.2}",
         size.0,
--- a/crates/decide/src/fleet/deployment.rs
+++ b/crates/decide/src/fleet/deployment.rs
@@ -1,7 +1,7 @@
-//! What a deployment holds: routes, services, client accounts, endpoints, weight versions.
+//! Types of a deployment: routes, services, client accounts, endpoints and weight versions.
 //!
-//! Invariant: these types speak the project's words only. An adapter decodes the platform's form
-//! into them once, and nothing downstream reads the platform's form again.
+//! Invariant: these types do not depend on a platform's formats. An adapter decodes a platform's data into
+//! them once; no other code reads the platform's formats.
 
 use crate::EndpointKey;
 use serde::{Deserialize, Serialize};
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The configuration in force, decoded.
+/// The active configuration, decoded.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DeploymentConfig {
-    /// Its version; versions rise, by uneven steps.
+    /// Its version; versions increase, by irregular steps.
     pub version: u64,
     /// All routes.
     pub routes: Vec<RouteRow>,
@@ -21,58 +21,62 @@
     pub services: BTreeMap<String, ServiceRow>,
     /// All client accounts.
     pub accounts: Vec<AccountRow>,
-    /// What a caller may send.
+    /// Limits of what a caller may send.
     pub limits: RequestLimits,
 }
 
-/// Callers leave no stream sooner than after this long without an event, in milliseconds (the users' pages).
-const SILENCE_LEAST_MILLIS: u64 = 2_000;
+/// Shortest time without an event after which callers abandon a stream, in milliseconds.
+///
+/// The documentation for callers states it.
+const MIN_STREAM_IDLE_TIMEOUT_MILLIS: u64 = 2_000;
 
-/// How often a request may run.
+/// How often requests of a route may run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RouteKind {
     /// More than once.
     Idempotent,
-    /// Once at most for each attempt of the caller.
+    /// At most once for each attempt of the caller.
     #[default]
     NotRepeatable,
-    /// An event stream; repeatable only where the route may be resumed.
+    /// An event stream; may run more than once only if the route is resumable.
     Stream,
 }
 
-/// One route: which requests it takes and how they are to be served.
+/// One route: the requests that it matches and how they are served.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteRow {
     /// Its name.
     pub name: String,
-    /// The host that it belongs to, in lower case.
+    /// The host, in lower case.
     pub host: String,
     /// The path prefix, with a slash at both ends.
     pub prefix: String,
     /// How often its requests may run.
     pub kind: RouteKind,
-    /// Services with their weights; one of them serves a request.
+    /// Services with their weights; each request goes to one of them.
     pub targets: Vec<ServiceWeight>,
-    /// Longest time that a request may be held, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     pub timeout_millis: u64,
-    /// Latency objective in milliseconds; for streams up to the first event.
+    /// Latency objective in milliseconds; for streams, until the first event.
     pub objective_millis: u64,
-    /// Longest pause between events at which a stream is still in time, in milliseconds.
+    /// Longest interval between events at which a stream meets its objective, in milliseconds.
     pub gap_millis: u64,
-    /// Rank; zero is the highest.
+    /// Priority; zero is the most urgent.
     pub priority: u8,
-    /// Endpoints that one attempt of the caller may be sent to.
+    /// Maximum number of endpoints to which one attempt of the caller may be sent.
     pub attempts: u32,
-    /// Whether no key is asked for.
+    /// Whether requests need no key.
     pub public: bool,
-    /// Whether a stream may go on at another engine.
+    /// Whether a stream may be resumed at another engine.
     pub resumable: bool,
-    /// Regions that its requests may be served in; empty means anywhere.
+    /// Regions in which its requests may be served; empty means anywhere.
     pub homes: Vec<String>,
 }
 
 impl RouteRow {
-    /// Time without an event after which callers leave a stream, in milliseconds (the users' pages).
+    /// Returns the time without an event after which callers abandon a stream, in milliseconds.
+    ///
+    /// The documentation for callers states it.
     ///
     /// # Examples
     /// ```
@@ -80,7 +84,7 @@
     /// assert_eq!(RouteRow { objective_millis: 1_200, gap_millis: 300, ..RouteRow::default() }.silence_millis(), 4_800);
     /// ```
     pub fn silence_millis(&self) -> u64 {
-        SILENCE_LEAST_MILLIS.max(self.objective_millis * 4).max(self.gap_millis * 8)
+        MIN_STREAM_IDLE_TIMEOUT_MILLIS.max(self.objective_millis * 4).max(self.gap_millis * 8)
     }
 
     /// Whether its requests may run more than once.
@@ -93,43 +97,45 @@
     }
 }
 
-/// A service and its part of a route's requests.
+/// A service and its weight among the services of a route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceWeight {
     /// The service's name.
     pub service: String,
-    /// Its weight among the route's services.
+    /// Its weight; it gets requests in proportion.
     pub weight: f64,
 }
 
 /// One service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceRow {
-    /// Connections that one of its endpoints accepts from all VMs together.
+    /// Connections that each of its endpoints accepts from all VMs together.
     pub connections: u32,
-    /// What its endpoints are, if they are model engines.
+    /// Specification of its endpoints, if they are model engines.
     pub engine: Option<EngineSpec>,
-    /// Where it stands, if it is a store of kept cache.
+    /// Specification of the store, if the service is a cache store.
     pub store: Option<StoreSpec>,
-    /// What its endpoints bear while they are cold.
+    /// Limits of its endpoints while they are cold.
     pub cold: ColdSpec,
 }
 
-/// What an endpoint bears while it is cold.
+/// Limits of an endpoint while it is cold.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdSpec {
-    /// How long one that has started without a word about it is taken for cold, in milliseconds.
+    /// Time for which a started endpoint counts as cold if it reports none, in milliseconds.
     pub start_millis: u64,
-    /// Requests a second from all VMs together; zero if it bears as many as a warm one.
+    /// Requests a second from all VMs together.
+    ///
+    /// Zero if it accepts as many as a warm endpoint.
     pub per_s: f64,
 }
 
-/// What all engines of a service have in common.
+/// Specification of all engines of a service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// Requests that an engine runs concurrently.
     pub slots: u32,
-    /// Memory for running requests and cached parts, in tokens.
+    /// Memory for running requests and cached segments, in tokens.
     pub memory_tokens: u64,
     /// Bytes of one token's cached state.
     pub token_bytes: u64,
@@ -137,22 +143,22 @@
     pub models: Vec<String>,
 }
 
-/// A store of kept cache.
+/// Specification of a cache store, which stores cached segments of prompts for engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreSpec {
     /// Its address.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
-    /// Its room in tokens.
+    /// Its capacity in tokens.
     pub tokens: u64,
-    /// Its link in megabits a second.
+    /// Capacity of its link, in megabits a second.
     pub link_mbps: f64,
-    /// Wait before each move, in milliseconds.
+    /// Fixed latency of each transfer, in milliseconds.
     pub first_millis: f64,
     /// Bytes of one token's cached state.
     pub token_bytes: u64,
-    /// Calls for news that it holds back at once, from all VMs together.
+    /// Long polls for updates that it accepts concurrently, from all VMs together.
     pub max_long_polls: u32,
 }
 
@@ -163,17 +169,17 @@
     pub name: String,
     /// Keys that its callers present.
     pub keys: Vec<String>,
-    /// Its rank, if it goes before the route's.
+    /// Priority of its requests, if it overrides the route's.
     pub priority: Option<u8>,
-    /// Whether no cached part may be shared with other accounts.
+    /// Whether no cached segment may be shared with other accounts.
     pub isolated: bool,
-    /// Regions that its requests may be served in; empty means anywhere.
+    /// Regions in which its requests may be served; empty means anywhere.
     pub homes: Vec<String>,
 }
 
 impl fmt::Debug for AccountRow {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Keys are secrets: only their number is shown.
+        // Keys are secrets, so only their number is written.
         formatter
             .debug_struct("AccountRow")
             .field("name", &self.name)
@@ -185,59 +191,63 @@
     }
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits of what a caller may send, and of the time that it may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Longest head, in bytes.
+    /// Longest header section, in bytes.
     pub header_bytes: usize,
     /// Longest body, in bytes.
     pub body_bytes: usize,
-    /// Time that a connection may be idle, in milliseconds.
+    /// Idle timeout of a connection, in milliseconds.
     pub idle_millis: u64,
-    /// Time that a caller may take for a head, in milliseconds.
+    /// Timeout for receiving a header section, in milliseconds.
     pub header_millis: u64,
 }
 
 impl Default for RequestLimits {
-    /// Customary limits of HTTP servers, until a configuration names its own.
+    /// Returns common limits of HTTP servers, used until a configuration sets its own.
     fn default() -> Self {
         Self { header_bytes: 16_384, body_bytes: 4 << 20, idle_millis: 15_000, header_millis: 10_000 }
     }
 }
 
-/// One running endpoint as service discovery tells it.
+/// One running endpoint as service discovery lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// Its id. An endpoint may start again under the id that it had.
+    /// Its id; an endpoint may restart under the same id.
     pub id: String,
-    /// Time of day of its start in milliseconds, if its platform tells starts apart: it holds and knows nothing of before.
+    /// Wall-clock time of its start in milliseconds, if its platform distinguishes starts.
+    ///
+    /// The endpoint has no state from before its start.
     pub born_millis: Option<u64>,
-    /// The service that it belongs to.
+    /// Name of its service.
     pub service: String,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
     /// The version of its software.
     pub version: Arc<str>,
-    /// Requests that it works on at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it has said that it is leaving.
+    /// Whether it reported that it is departing.
     pub draining: bool,
-    /// How long it stays cold, in milliseconds, from when this was written; none if it does not tell.
+    /// Time for which it stays cold, in milliseconds; `None` if not reported.
+    ///
+    /// The time counts from when the entry is written.
     pub cold_millis: Option<u64>,
     /// Weight versions by model.
     pub weights: Arc<BTreeMap<String, u64>>,
 }
 
 impl EndpointEntry {
-    /// The key of this start of the endpoint.
+    /// Returns the key that identifies this start of the endpoint.
     pub fn key(&self) -> EndpointKey {
         EndpointKey::of_start(&self.id, self.born_millis)
     }
 }
 
-/// The weight version that a model's engines should have.
+/// The weight version that a model's engines should load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightTarget {
     /// The model.
@@ -246,58 +256,60 @@
     pub version: u64,
 }
 
-/// What an engine says of itself.
+/// State that an engine reports about itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineReport {
     /// Weight versions by model.
     pub weights: BTreeMap<String, u64>,
-    /// Whether an order is under way.
+    /// Whether it is carrying out an order.
     pub busy: bool,
-    /// Time of day of its start in milliseconds, if it was told.
+    /// Wall-clock time of its start in milliseconds, if reported.
     pub born_millis: Option<u64>,
-    /// Orders that it has taken since then.
+    /// Number of orders that it has accepted since its start.
     pub orders_taken: u64,
-    /// The engines' clock at the answer, in milliseconds, if it was told.
+    /// The engines' clock at the answer, in milliseconds, if reported.
     pub clock_millis: Option<u64>,
-    /// Milliseconds until it ends, if it leaves; zero if it tells no time.
+    /// Milliseconds until it stops, if it is departing; zero if it reports no time.
     pub departure_delay_millis: Option<u64>,
 }
 
-/// One change of what a store of kept cache holds.
+/// One change of the contents of a cache store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheChange {
-    /// The text under which the part is shared.
+    /// Cache salt under which the segment is shared.
     pub salt: String,
-    /// The part.
+    /// Key of the segment.
     pub part: u64,
-    /// The part's identity as the store writes it.
+    /// Identity of the segment as the store writes it.
     pub segment_text: String,
-    /// Tokens that are held from now on; zero if the part is gone.
+    /// Tokens that the store contains after the change; zero if the segment was removed.
     pub tokens: u32,
 }
 
-/// What a store of kept cache tells: changes since the last call, or all that it holds.
+/// Report of a cache store: changes since the last call, or its full index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheUpdate {
     /// Differs at each start of the store.
     pub incarnation: u64,
-    /// Where the next call goes on.
+    /// Position from which the next call continues.
     pub next: u64,
-    /// Whether changes in between are lost.
+    /// Whether changes since the last call were lost.
     pub gap: bool,
-    /// The engines' clock at the answer, in milliseconds, if it was told.
+    /// The engines' clock at the answer, in milliseconds, if reported.
     pub clock_millis: Option<u64>,
-    /// The changes, or the parts held.
+    /// The changes, or all segments stored.
     pub changes: Vec<CacheChange>,
-    /// Salts and parts that broke off on their way and take room; told by listings only.
+    /// Cache salts and identities of segments whose transfer broke off.
+    ///
+    /// They occupy space in the store. Only a full index contains them.
     pub broken: Vec<(String, String)>,
 }
 
-/// One part of a prompt: its identity and size, as the caller states them.
+/// One segment of a prompt: its identity and size, as the caller states them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// Short digest of the part's identity.
+    /// Short digest of the segment's identity.
     pub key: u64,
-    /// Its tokens.
+    /// Its number of tokens.
     pub tokens: u32,
 }
--- a/crates/decide/src/fleet/endpoint_snapshot.rs
+++ b/crates/decide/src/fleet/endpoint_snapshot.rs
@@ -1,10 +1,12 @@
-//! What one VM hands to another that starts: all endpoints as far as it has followed the store.
+//! Snapshot of all endpoints that a VM sends to another VM at its start.
 //!
-//! Pattern: each VM that starts reads the entries of all endpoints. With n VMs and as many times the endpoints that is n
-//! times n: 985 VMs that start together would read 5 GB from the store, and be ready after its link has carried that. So where
-//! there are many, a few VMs of each data centre read them there, and the others take a copy from one that has a wide link.
+//! Pattern: a VM that starts reads the entries of all endpoints. As the number of endpoints grows with the
+//! number of VMs, the total grows with its square: 985 VMs that start together would read 5 GB from the
+//! store, and be ready only after its link has carried that. So in large data centres a few VMs read the
+//! entries from the store, and the others take a snapshot from a VM with a wide link.
 //!
-//! Invariant: a copy holds every change up to its position. It may hold later ones too: these come again, and change nothing.
+//! Invariant: a snapshot contains every change up to its position. It may contain later changes too; they are
+//! received again and have no further effect.
 
 use crate::{EndpointEntry, FleetTable, StorePosition};
 use flate2::Compression;
@@ -18,16 +20,16 @@
 /// All endpoints at one position in the store's history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointSnapshot {
-    /// All changes up to here are in it.
+    /// The snapshot contains all changes up to this position.
     pub position: StorePosition,
-    /// Entries that could be read.
+    /// Entries that could be decoded.
     pub entries: Vec<EndpointEntry>,
-    /// Ids of those that could not.
+    /// Ids of endpoints whose entries could not be decoded.
     pub unreadable: Vec<String>,
 }
 
 impl EndpointSnapshot {
-    /// The endpoints of a table whose changes up to `position` are applied.
+    /// Creates a snapshot of a table to which all changes up to `position` are applied.
     pub fn of(table: &FleetTable, position: StorePosition, now: Moment) -> Self {
         let listed = table.rows().filter(|(_, row)| row.missing_until.is_none() && !row.is_unreadable);
         let entries = listed.map(|(_, row)| {
@@ -43,7 +45,9 @@
     }
 }
 
-/// A value in as few bytes as a fast compression takes; none if it has no binary form.
+/// Serializes and compresses a value; `None` if it cannot be serialized.
+///
+/// The compression is the fastest one.
 ///
 /// # Examples
 /// ```
@@ -60,9 +64,9 @@
     encoder.finish().ok()
 }
 
-/// A packed value of `most` bytes at most; none if it is longer or not such a value.
-pub fn unpack<T: DeserializeOwned>(packed: &[u8], most: u64) -> Option<T> {
+/// Decompresses and decodes a packed value; `None` if it is invalid or larger than `limit_bytes`.
+pub fn unpack<T: DeserializeOwned>(packed: &[u8], limit_bytes: u64) -> Option<T> {
     let mut plain = Vec::new();
-    DeflateDecoder::new(packed).take(most).read_to_end(&mut plain).ok()?;
+    DeflateDecoder::new(packed).take(limit_bytes).read_to_end(&mut plain).ok()?;
     postcard::from_bytes(&plain).ok()
 }
--- a/crates/decide/src/fleet/home_regions.rs
+++ b/crates/decide/src/fleet/home_regions.rs
@@ -1,24 +1,25 @@
-//! Regions that a request may be served in.
+//! Regions in which a request may be served.
 //!
-//! Invariant: where a route or a client account names regions, an endpoint or store elsewhere, or in a data centre whose region
-//! is not known, gets neither the request nor what is kept of it. Where both name some, both bind.
+//! Invariant: if a route or a client account names regions, the request and its cached state stay in these.
+//! Endpoints and stores elsewhere, or in a data centre of unknown region, get neither. If both name regions,
+//! both restrictions apply.
 
-/// The regions that a request's route and its client account name; empty means anywhere.
+/// The regions that a request's route and client account name; empty means anywhere.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HomeRegions<'a> {
-    /// Those of its route.
+    /// Regions of its route.
     pub route: &'a [String],
-    /// Those of its client account.
+    /// Regions of its client account.
     pub account: &'a [String],
 }
 
 impl HomeRegions<'_> {
-    /// Whether it may be served anywhere.
+    /// Whether the request may be served anywhere.
     pub const fn is_anywhere(&self) -> bool {
         self.route.is_empty() && self.account.is_empty()
     }
 
-    /// Whether it may be served in a region.
+    /// Whether the request may be served in a region; `None` is an unknown region.
     ///
     /// # Examples
     /// ```
@@ -29,8 +30,8 @@
     /// assert!(!homes.allow(Some("north")) && !homes.allow(None));
     /// ```
     pub fn allow(&self, region: Option<&str>) -> bool {
-        let allows = |named: &[String]| {
-            named.is_empty() || region.is_some_and(|region| named.iter().any(|name| name == region))
+        let allows = |regions: &[String]| {
+            regions.is_empty() || region.is_some_and(|region| regions.iter().any(|name| name == region))
         };
         allows(self.route) && allows(self.account)
     }
--- a/crates/decide/src/fleet/peer_loads.rs
+++ b/crates/decide/src/fleet/peer_loads.rs
@@ -1,98 +1,98 @@
-//! Work that other VMs have in flight at one endpoint, as they told.
+//! Requests that other VMs have in flight at one endpoint, as they reported.
 //!
-//! Invariant: the sum is that of the rows, so that a choice among many endpoints reads one number of each
-//! and not a row of each VM; it holds as long as no row can have run out. With 256 engines, each with rows of seven
-//! sources, a choice took 570 us while sums were made and plans were built for each engine, and
-//! 52 us since (`placement_cost`).
+//! Invariant: the stored sum is the sum of all rows and is valid as long as no row can have expired. So a
+//! placement reads one number of each endpoint instead of a row of each VM. With 256 engines of seven sources
+//! each, a placement took 570 us when it summed the rows and built a transfer plan for each engine, and takes
+//! 52 us without (`placement_cost`).
 
 use crate::{LoadCount, LoadSource, VmKey};
 use spanfold_entity::Moment;
 
-/// A peer's load counts for this long after its last digest, in milliseconds.
-const PEER_LOAD_MILLIS: u64 = 1_500;
+/// A peer's load counts for this long after its newest digest, in milliseconds.
+const REPORT_LIFETIME_MILLIS: u64 = 1_500;
 
-/// Loads by the source that told them.
+/// Loads of an endpoint by the source that reported them.
 #[derive(Debug, Default)]
 pub(crate) struct PeerLoads {
     rows: Vec<(LoadSource, LoadCount, Moment)>,
     sum: LoadCount,
-    /// No row was told before this moment.
-    oldest: Moment,
+    /// No row was reported before this moment.
+    oldest_report_at: Moment,
 }
 
 impl PeerLoads {
-    /// Takes what `source` says that it has in flight.
+    /// Records the load that `source` reports.
     pub(crate) fn set(&mut self, source: LoadSource, load: LoadCount, now: Moment) {
-        self.oldest = if self.rows.is_empty() { now } else { self.oldest.min(now) };
+        self.oldest_report_at = if self.rows.is_empty() { now } else { self.oldest_report_at.min(now) };
         match self.rows.iter_mut().find(|(other, _, _)| *other == source) {
-            Some((_, known, told_at)) => {
-                self.sum.subtract(*known);
-                (*known, *told_at) = (load, now);
+            Some((_, current, reported_at)) => {
+                self.sum.subtract(*current);
+                (*current, *reported_at) = (load, now);
             }
             None => self.rows.push((source, load, now)),
         }
         self.sum.add(load);
     }
 
-    /// Notes that `source` has nothing in flight.
+    /// Records that `source` has nothing in flight.
     pub(crate) fn clear(&mut self, source: LoadSource) {
-        let Some(place) = self.rows.iter().position(|(other, _, _)| *other == source) else { return };
-        let (_, before, _) = self.rows.swap_remove(place);
-        self.sum.subtract(before);
+        let Some(index) = self.rows.iter().position(|(other, _, _)| *other == source) else { return };
+        let (_, removed, _) = self.rows.swap_remove(index);
+        self.sum.subtract(removed);
         if self.rows.is_empty() {
-            // Most endpoints are busy for a moment only: an idle one holds no memory.
+            // Releases the memory: most endpoints have load only briefly.
             self.rows = Vec::new();
         }
     }
 
-    /// Load of all sources that told theirs lately.
+    /// Returns the load of all sources whose report is valid.
     pub(crate) fn sum(&self, now: Moment) -> LoadCount {
-        if now < self.oldest.after_millis(PEER_LOAD_MILLIS) {
+        if now < self.oldest_report_at.after_millis(REPORT_LIFETIME_MILLIS) {
             return self.sum;
         }
         self.sum_where(|_| true, now)
     }
 
-    /// Load of the VMs that `counts` names.
-    pub(crate) fn sum_of(&self, counts: impl Fn(VmKey) -> bool, now: Moment) -> LoadCount {
-        self.sum_where(|source| matches!(source, LoadSource::Vm(vm) if counts(vm)), now)
+    /// Returns the load of the VMs that `is_counted` selects.
+    pub(crate) fn sum_of(&self, is_counted: impl Fn(VmKey) -> bool, now: Moment) -> LoadCount {
+        self.sum_where(|source| matches!(source, LoadSource::Vm(vm) if is_counted(vm)), now)
     }
 
-    /// Load of the VMs of other data centres, as their leads told.
+    /// Returns the load of the VMs of other data centres, as their leaders reported it.
     pub(crate) fn sum_far(&self, now: Moment) -> LoadCount {
         self.sum_where(|source| matches!(source, LoadSource::DataCentre(_)), now)
     }
 
-    fn sum_where(&self, counts: impl Fn(LoadSource) -> bool, now: Moment) -> LoadCount {
+    fn sum_where(&self, is_counted: impl Fn(LoadSource) -> bool, now: Moment) -> LoadCount {
         let mut sum = LoadCount::default();
-        for (source, load, told_at) in &self.rows {
-            if counts_at(*told_at, now) && counts(*source) {
+        for (source, load, reported_at) in &self.rows {
+            if is_valid_at(*reported_at, now) && is_counted(*source) {
                 sum.add(*load);
             }
         }
         sum
     }
 
-    /// Forgets what was told too long ago.
+    /// Removes expired reports.
     pub(crate) fn sweep(&mut self, now: Moment) {
         let mut sum = LoadCount::default();
-        let mut oldest = now;
-        self.rows.retain(|(_, load, told_at)| {
-            let stays = counts_at(*told_at, now);
-            if stays {
+        let mut oldest_report_at = now;
+        self.rows.retain(|(_, load, reported_at)| {
+            let is_valid = is_valid_at(*reported_at, now);
+            if is_valid {
                 sum.add(*load);
-                oldest = oldest.min(*told_at);
+                oldest_report_at = oldest_report_at.min(*reported_at);
             }
-            stays
+            is_valid
         });
         if self.rows.is_empty() {
             self.rows = Vec::new();
         }
         self.sum = sum;
-        self.oldest = oldest;
+        self.oldest_report_at = oldest_report_at;
     }
 }
 
-fn counts_at(told_at: Moment, now: Moment) -> bool {
-    now < told_at.after_millis(PEER_LOAD_MILLIS)
+fn is_valid_at(reported_at: Moment, now: Moment) -> bool {
+    now < reported_at.after_millis(REPORT_LIFETIME_MILLIS)
 }
--- a/crates/decide/src/fleet/peer_table.rs
+++ b/crates/decide/src/fleet/peer_table.rs
@@ -1,12 +1,12 @@
-//! The other VMs of the deployment: where they are, whether they are heard, and who works for whom.
+//! The other VMs of the deployment: addresses, reachability and leaders of data centres.
 //!
-//! Invariant: a VM stays in the book while its entry stands in the store or its digests arrive, so
-//! neither an outage of the store nor a cut between data centres alone empties it.
+//! Invariant: a VM stays in the table while its entry is in the store or its digests arrive, so neither an
+//! outage of the store nor a network partition between data centres alone empties the table.
 //!
-//! Within a data centre every VM tells every other. Between data centres only a few do, the leads: the
-//! VMs with the widest links that are heard. Who is a lead follows from the book alone, so no VM has to
-//! be asked, and two VMs that disagree for a moment only tell some things twice. In a small deployment
-//! everyone tells everyone: it is fresher, and costs little.
+//! Within a data centre, every VM sends its digests to every other VM. Between data centres only the leaders
+//! do: the reachable VMs with the widest links. Leaders follow from the table alone, so no election takes
+//! place; two VMs whose tables differ for a moment send some messages twice. In a small deployment every VM
+//! sends to every other one, which gives more current data at little cost.
 
 use crate::admit::SHARE_RETENTION_MILLIS;
 use crate::{ListMembership, ShareRight, VmKey};
@@ -16,62 +16,70 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A VM that is not heard for this long counts as dead, in milliseconds: several digests.
-const HEARD_MILLIS: u64 = 1_200;
+/// A VM counts as dead after this long without a digest, in milliseconds.
+///
+/// The timeout spans several digest intervals.
+const PEER_TIMEOUT_MILLIS: u64 = 1_200;
 
-/// A data centre whose VMs are all silent for this long is passed over, in milliseconds: two digests
-/// and a little; callers of short objectives lose less than by waiting for connections to fail. A VM
-/// that is silent for as long leads nobody.
+/// A VM is unreachable and cannot lead after this long without a digest, in milliseconds.
+///
+/// A data centre whose VMs are all unreachable is skipped. The timeout is slightly more than two digest
+/// intervals: callers with short objectives lose less by that than by waiting for connections to fail.
 const SILENCE_TIMEOUT_MILLIS: u64 = 750;
 
-/// Largest deployment in which every VM tells every other, in VMs: at 12 a VM sends some 500 packets a
-/// second, about as many as within a data centre of 25.
-const DIRECT_MOST: usize = 12;
-/// Largest data centre in which every VM tells every other of its loads, in VMs: beyond it, the leads pass on what
-/// VMs tell them, several digests in one message. With 59 VMs that is a tenth of the packets, some 60
-/// in place of 870 a second at each VM; below it, a digest is there 20 ms sooner.
-const MESH_MOST: usize = 30;
-/// A VM that was listed for the first time is expected to be heard within this time, in milliseconds.
-const EXPECTED_MILLIS: u64 = 1_200;
-/// Leads of a data centre that tell other data centres: the death of one costs freshness only.
+/// Largest deployment in which every VM sends its digests to every other VM, in VMs.
+///
+/// At 12 VMs, a VM sends about 500 packets a second, as many as within a data centre of 25 VMs.
+const MAX_BROADCAST_VMS: usize = 12;
+/// Largest data centre in which VMs send load digests directly, in VMs.
+///
+/// In larger ones the leaders relay several digests in one message. At 59 VMs this takes about a tenth of
+/// the packets, some 60 in place of 870 a second at each VM. In smaller ones, a direct digest arrives 20 ms
+/// sooner.
+const MAX_MESH_VMS: usize = 30;
+/// Time within which a newly listed VM should send its first digest, in milliseconds.
+const FIRST_DIGEST_TIMEOUT_MILLIS: u64 = 1_200;
+/// Leaders of a data centre that send to other data centres.
+///
+/// With two, the failure of one only makes the data in other data centres less current.
 pub const LEADERS_PER_DATA_CENTRE: usize = 2;
 
-/// What a VM writes of itself into the store.
+/// The entry that a VM writes for itself into the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
     /// Its name.
     pub name: String,
-    /// Address for digests, over UDP.
+    /// UDP address for digests.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
     /// Differs at each start.
     pub incarnation: u64,
-    /// Its link in megabits a second.
+    /// Capacity of its link, in megabits a second.
     #[serde(default)]
     pub link_mbps: u32,
 }
 
-/// VMs of a data centre that list all endpoints in the store: two may fail.
-const LISTERS: usize = 3;
-/// A link is wide if it is so many times as wide as this VM's.
-const WIDE_FACTOR: u32 = 2;
+/// VMs of a data centre that read all endpoints from the store; two may fail.
+const LISTERS_PER_DATA_CENTRE: usize = 3;
+/// A link is wide if its capacity is at least this multiple of this VM's.
+const WIDE_LINK_RATIO: u32 = 2;
 
 impl VmEntry {
-    /// Order in which the VMs of a data centre lead it: the widest link first.
-    pub(super) fn lead_order(&self) -> (Reverse<u32>, &str) {
+    /// Returns the sort key of leaders: the widest link first, then by name.
+    pub(super) fn leader_order(&self) -> (Reverse<u32>, &str) {
         (Reverse(self.link_mbps), self.name.as_str())
     }
 }
 
-/// The newest digest of a VM that was heard.
+/// Identifies the newest digest received from a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
     /// The VM.
     pub vm: VmKey,
     /// Its incarnation.
     pub incarnation: u64,
-    /// Which of its messages it was.
+    /// Sequence number of the digest.
     pub sequence: u64,
 }
 
@@ -79,54 +87,57 @@
 struct PeerRow {
     entry: VmEntry,
     listed: bool,
-    /// When its present incarnation was listed first, if that is known.
+    /// When its current incarnation was first listed, if recorded.
     listed_at: Option<Moment>,
-    heard_at: Option<Moment>,
+    received_at: Option<Moment>,
+    /// Incarnation and sequence number of its newest digest.
     sequence: (u64, u64),
-    /// The same of what it passes on of other data centres.
-    passed_sequence: (u64, u64),
+    /// Incarnation and sequence number of the newest message that it relayed from other data centres.
+    relayed_sequence: (u64, u64),
 }
 
 impl PeerRow {
-    /// Whether it was heard lately, or may not have had the time to say anything.
-    fn is_expected(&self, now: Moment) -> bool {
-        let is_new = self.listed_at.is_some_and(|at| now < at.after_millis(EXPECTED_MILLIS));
-        is_new || self.is_heard_within(SILENCE_TIMEOUT_MILLIS, now)
+    /// Whether it is reachable, or was listed too recently to have sent a digest.
+    fn is_presumed_reachable(&self, now: Moment) -> bool {
+        let is_new = self.listed_at.is_some_and(|at| now < at.after_millis(FIRST_DIGEST_TIMEOUT_MILLIS));
+        is_new || self.sent_within(SILENCE_TIMEOUT_MILLIS, now)
     }
 
-    fn is_heard_within(&self, millis: u64, now: Moment) -> bool {
-        self.heard_at.is_some_and(|at| now < at.after_millis(millis))
+    fn sent_within(&self, millis: u64, now: Moment) -> bool {
+        self.received_at.is_some_and(|at| now < at.after_millis(millis))
     }
 }
 
-/// A VM whose entry is gone: it may be cut off from the store and go on serving.
+/// A VM whose entry was removed.
+///
+/// It may be cut off from the store and still serve requests.
 #[derive(Debug)]
-struct LeftRow {
+struct DepartedPeer {
     data_centre: String,
-    /// Until when nobody else takes its part of what endpoints with a limit take.
-    part_until: Moment,
+    /// Until then, no other VM takes over its share of endpoint limits.
+    share_deadline: Moment,
 }
 
-/// All other VMs.
+/// Table of all other VMs.
 #[derive(Debug)]
 pub struct PeerTable {
     own: VmEntry,
     rows: BTreeMap<VmKey, PeerRow>,
-    left: BTreeMap<VmKey, LeftRow>,
+    departed: BTreeMap<VmKey, DepartedPeer>,
 }
 
 impl PeerTable {
-    /// A book without other VMs, for the VM with the entry `own`.
+    /// Creates a table without other VMs, for the VM with the entry `own`.
     pub const fn new(own: VmEntry) -> Self {
-        Self { own, rows: BTreeMap::new(), left: BTreeMap::new() }
+        Self { own, rows: BTreeMap::new(), departed: BTreeMap::new() }
     }
 
-    /// This VM's own entry.
+    /// Returns this VM's entry.
     pub const fn own(&self) -> &VmEntry {
         &self.own
     }
 
-    /// Takes a VM's entry from the store.
+    /// Adds or replaces a VM's entry from the store.
     pub fn list(&mut self, entry: VmEntry) {
         if entry.name == self.own.name {
             return;
@@ -136,155 +147,175 @@
             entry: entry.clone(),
             listed: true,
             listed_at: None,
-            heard_at: None,
+            received_at: None,
             sequence: (0, 0),
-            passed_sequence: (0, 0),
+            relayed_sequence: (0, 0),
         });
         row.entry = entry;
         row.listed = true;
-        self.left.remove(&key);
+        self.departed.remove(&key);
     }
 
-    /// Takes a VM's entry from the store at `now`: a new one counts as living until it should have been heard.
+    /// Adds or replaces a VM's entry from the store, received at `now`.
+    ///
+    /// A new incarnation is presumed reachable until its first digest is due.
     pub fn list_at(&mut self, entry: VmEntry, now: Moment) {
         let (key, incarnation) = (VmKey::of(&entry.name), entry.incarnation);
-        let is_known = self.rows.get(&key).is_some_and(|row| row.entry.incarnation == incarnation);
+        let has_incarnation = self.rows.get(&key).is_some_and(|row| row.entry.incarnation == incarnation);
         self.list(entry);
         if let Some(row) = self.rows.get_mut(&key)
-            && !is_known
+            && !has_incarnation
         {
             row.listed_at = Some(now);
         }
     }
 
-    /// Notes that a VM's entry is gone from the store.
+    /// Records that a VM's entry was removed from the store.
     pub fn unlist(&mut self, name: &str, now: Moment) {
         let key = VmKey::of(name);
         let Some(row) = self.rows.get_mut(&key) else { return };
         row.listed = false;
         let data_centre = row.entry.data_centre.clone();
-        self.left.insert(key, LeftRow { data_centre, part_until: now.after_millis(SHARE_RETENTION_MILLIS) });
-        if !row.is_heard_within(HEARD_MILLIS, now) {
+        self.departed.insert(
+            key,
+            DepartedPeer { data_centre, share_deadline: now.after_millis(SHARE_RETENTION_MILLIS) },
+        );
+        if !row.sent_within(PEER_TIMEOUT_MILLIS, now) {
             self.rows.remove(&key);
         }
     }
 
-    /// Notes a digest; false if it is older than one that came before, or its sender is unknown.
+    /// Records a digest; false if outdated or its sender is not in the table.
     pub fn hear(&mut self, vm: VmKey, incarnation: u64, sequence: u64, now: Moment) -> bool {
         let Some(row) = self.rows.get_mut(&vm) else { return false };
         if row.sequence.0 == incarnation && row.sequence.1 >= sequence {
             return false;
         }
         row.sequence = (incarnation, sequence);
-        row.heard_at = Some(now);
+        row.received_at = Some(now);
         true
     }
 
-    /// Notes what a VM passes on of other data centres; false if it is older than what it passed on before, or
-    /// its sender is unknown.
+    /// Records a message that a VM relays from other data centres.
+    ///
+    /// Returns false if it is not newer than what this VM relayed before, or the VM is not in the table.
     pub fn record_relayed_digest(&mut self, vm: VmKey, incarnation: u64, sequence: u64, now: Moment) -> bool {
         let Some(row) = self.rows.get_mut(&vm) else { return false };
-        if row.passed_sequence.0 == incarnation && row.passed_sequence.1 >= sequence {
+        if row.relayed_sequence.0 == incarnation && row.relayed_sequence.1 >= sequence {
             return false;
         }
-        row.passed_sequence = (incarnation, sequence);
-        row.heard_at = Some(now);
+        row.relayed_sequence = (incarnation, sequence);
+        row.received_at = Some(now);
         true
     }
 
-    /// Takes what a VM of this data centre heard of a far one, which was at `heard_at`.
-    pub fn record_indirect_digest(&mut self, heard: &PeerHeartbeat, heard_at: Moment) {
-        let Some(row) = self.rows.get_mut(&heard.vm) else { return };
-        let newest = row.sequence.0 != heard.incarnation || row.sequence.1 < heard.sequence;
-        if newest && row.heard_at.is_none_or(|at| at < heard_at) {
-            row.sequence = (heard.incarnation, heard.sequence);
-            row.heard_at = Some(heard_at);
+    /// Records a remote VM's digest that a VM of this data centre received.
+    ///
+    /// `received_at` is when that VM received it.
+    pub fn record_indirect_digest(&mut self, heartbeat: &PeerHeartbeat, received_at: Moment) {
+        let Some(row) = self.rows.get_mut(&heartbeat.vm) else { return };
+        let is_newer = row.sequence.0 != heartbeat.incarnation || row.sequence.1 < heartbeat.sequence;
+        if is_newer && row.received_at.is_none_or(|at| at < received_at) {
+            row.sequence = (heartbeat.incarnation, heartbeat.sequence);
+            row.received_at = Some(received_at);
         }
     }
 
-    /// VMs of other data centres that were heard lately, and how long ago, in microseconds.
+    /// Returns live VMs of other data centres with their digests' ages in microseconds.
     pub fn live_remote_peers(&self, now: Moment) -> Vec<(PeerHeartbeat, u64)> {
-        let far = self.rows.iter().filter(|(_, row)| !self.is_near_row(row));
-        let heard = far.filter_map(|(vm, row)| {
-            let at = row.heard_at.filter(|at| now < at.after_millis(HEARD_MILLIS))?;
+        let remote = self.rows.iter().filter(|(_, row)| !self.is_local_row(row));
+        let live = remote.filter_map(|(vm, row)| {
+            let at = row.received_at.filter(|at| now < at.after_millis(PEER_TIMEOUT_MILLIS))?;
             let (incarnation, sequence) = row.sequence;
             Some((PeerHeartbeat { vm: *vm, incarnation, sequence }, now.micros_since(at)))
         });
-        heard.collect()
+        live.collect()
     }
 
-    /// Drops VMs that are neither listed nor heard.
+    /// Removes VMs that are neither listed nor live, and expired shares of departed VMs.
     pub fn sweep(&mut self, now: Moment) {
-        self.rows.retain(|_, row| row.listed || row.is_heard_within(HEARD_MILLIS, now));
-        self.left.retain(|_, row| now < row.part_until);
+        self.rows.retain(|_, row| row.listed || row.sent_within(PEER_TIMEOUT_MILLIS, now));
+        self.departed.retain(|_, row| now < row.share_deadline);
     }
 
-    /// Whether the deployment is small enough for every VM to tell every other.
+    /// Whether the deployment is small enough for every VM to send to every other one.
     pub fn broadcasts_to_all(&self) -> bool {
-        self.listed_count() <= DIRECT_MOST
+        self.listed_count() <= MAX_BROADCAST_VMS
     }
 
-    /// Addresses that this VM's own digests go to: all other VMs, or those of its data centre.
+    /// Returns the targets of this VM's digests.
+    ///
+    /// These are all other VMs in a small deployment, and the VMs of its data centre in a large one.
     pub fn digest_targets(&self) -> Vec<SocketAddr> {
-        let all = self.broadcasts_to_all();
-        self.rows.values().filter(|row| all || self.is_near_row(row)).map(|row| row.entry.address).collect()
+        let to_all = self.broadcasts_to_all();
+        self.rows
+            .values()
+            .filter(|row| to_all || self.is_local_row(row))
+            .map(|row| row.entry.address)
+            .collect()
     }
 
-    /// Whether the leads of this data centre pass on what its VMs tell them.
+    /// Whether the leaders of this data centre relay the digests of its VMs.
     pub fn relays_locally(&self) -> bool {
         !self.broadcasts_to_all()
-            && self.rows.values().filter(|row| self.is_near_row(row)).count() >= MESH_MOST
+            && self.rows.values().filter(|row| self.is_local_row(row)).count() >= MAX_MESH_VMS
     }
 
-    /// Addresses of the other VMs that lead this data centre, or are expected to: what this VM tells of itself goes
-    /// there where the leads pass it on.
+    /// Returns addresses of the other VMs that lead this data centre, or are presumed to.
+    ///
+    /// This VM sends its digests there if the leaders relay them.
     pub fn local_leaders(&self, now: Moment) -> Vec<SocketAddr> {
-        let mut rows: Vec<_> =
-            self.rows.values().filter(|row| self.is_near_row(row) && row.is_expected(now)).collect();
-        rows.sort_by_key(|row| row.entry.lead_order());
+        let mut rows: Vec<_> = self
+            .rows
+            .values()
+            .filter(|row| self.is_local_row(row) && row.is_presumed_reachable(now))
+            .collect();
+        rows.sort_by_key(|row| row.entry.leader_order());
         rows.iter().take(LEADERS_PER_DATA_CENTRE).map(|row| row.entry.address).collect()
     }
 
-    /// Addresses of the other VMs of this data centre.
+    /// Returns the addresses of the other VMs of this data centre.
     pub fn local_peer_addresses(&self) -> Vec<SocketAddr> {
-        self.rows.values().filter(|row| self.is_near_row(row)).map(|row| row.entry.address).collect()
+        self.rows.values().filter(|row| self.is_local_row(row)).map(|row| row.entry.address).collect()
     }
 
-    /// How many other VMs this data centre has.
+    /// Returns the number of other VMs of this data centre.
     pub fn local_peer_count(&self) -> usize {
-        self.near_entries().count()
+        self.local_entries().count()
     }
 
-    /// The other VMs of this data centre.
-    pub(super) fn near_entries(&self) -> impl Iterator<Item = &VmEntry> {
-        self.rows.values().filter(|row| self.is_near_row(row)).map(|row| &row.entry)
+    /// Returns the entries of the other VMs of this data centre.
+    pub(super) fn local_entries(&self) -> impl Iterator<Item = &VmEntry> {
+        self.rows.values().filter(|row| self.is_local_row(row)).map(|row| &row.entry)
     }
 
-    /// A VM of this data centre.
-    pub(super) fn near_entry(&self, vm: VmKey) -> Option<&VmEntry> {
-        self.rows.get(&vm).filter(|row| self.is_near_row(row)).map(|row| &row.entry)
+    /// Returns the entry of another VM of this data centre.
+    pub(super) fn local_entry(&self, vm: VmKey) -> Option<&VmEntry> {
+        self.rows.get(&vm).filter(|row| self.is_local_row(row)).map(|row| &row.entry)
     }
 
-    /// Whether a VM stands in this data centre.
+    /// Whether a VM is in this data centre.
     pub fn is_local(&self, vm: VmKey) -> bool {
-        self.rows.get(&vm).is_some_and(|row| self.is_near_row(row))
+        self.rows.get(&vm).is_some_and(|row| self.is_local_row(row))
     }
 
-    /// The other VMs of this data centre.
+    /// Returns the keys of the other VMs of this data centre.
     pub fn local_vms(&self) -> BTreeSet<VmKey> {
-        self.rows.iter().filter(|(_, row)| self.is_near_row(row)).map(|(key, _)| *key).collect()
+        self.rows.iter().filter(|(_, row)| self.is_local_row(row)).map(|(key, _)| *key).collect()
     }
 
-    /// This VM's right to send to endpoints that take few requests: among all VMs whose entries stand in the store, or
-    /// have gone so lately that they may still use their parts.
-    pub fn share_right(&self, standing: &ListMembership, now: Moment) -> ShareRight {
+    /// Returns this VM's right to shares of endpoint limits.
+    ///
+    /// Limits are shared among all VMs whose entries are in the store, and VMs whose entries were removed so
+    /// recently that they may still use their shares.
+    pub fn share_right(&self, membership: &ListMembership, now: Moment) -> ShareRight {
         let mut right = ShareRight::alone(VmKey::of(&self.own.name), &self.own.data_centre);
-        right.is_fresh = standing.is_fresh(now);
+        right.is_fresh = membership.is_fresh(now);
         let listed = self.rows.iter().filter(|(_, row)| row.listed);
         let listed = listed.map(|(vm, row)| (*vm, row.entry.data_centre.as_str()));
-        let left = self.left.iter().filter(|(_, row)| now < row.part_until);
-        let left = left.map(|(vm, row)| (*vm, row.data_centre.as_str()));
-        for (vm, data_centre) in listed.chain(left) {
+        let departed = self.departed.iter().filter(|(_, row)| now < row.share_deadline);
+        let departed = departed.map(|(vm, row)| (*vm, row.data_centre.as_str()));
+        for (vm, data_centre) in listed.chain(departed) {
             right.all.push(vm);
             if data_centre == self.own.data_centre {
                 right.near.push(vm);
@@ -295,26 +326,28 @@
         right
     }
 
-    fn is_near_row(&self, row: &PeerRow) -> bool {
+    fn is_local_row(&self, row: &PeerRow) -> bool {
         row.entry.data_centre == self.own.data_centre
     }
 
-    /// Where a VM sends its messages from, if it is known.
+    /// Returns the address from which a VM sends its messages.
     pub fn address_of(&self, vm: VmKey) -> Option<SocketAddr> {
         self.rows.get(&vm).map(|row| row.entry.address)
     }
 
-    /// The data centre of a VM, if it is known.
+    /// Returns the data centre of a VM.
     pub fn data_centre_of(&self, vm: VmKey) -> Option<&str> {
         self.rows.get(&vm).map(|row| row.entry.data_centre.as_str())
     }
 
-    /// This VM's place among the VMs of its data centre that are heard; the first ones lead.
+    /// Returns this VM's rank among the reachable VMs of its data centre.
+    ///
+    /// Ranks below `LEADERS_PER_DATA_CENTRE` lead.
     ///
     /// # Examples
     /// ```
     /// use spanfold_entity::Moment;
-    /// use spanfold_decide::{PeerBook, VmEntry, VmKey};
+    /// use spanfold_decide::{PeerTable, VmEntry, VmKey};
     /// let vm = |name: &str, link_mbps| VmEntry {
     ///     name: name.into(),
     ///     address: "127.0.0.1:9".parse().unwrap(),
@@ -322,36 +355,42 @@
     ///     incarnation: 1,
     ///     link_mbps,
     /// };
-    /// let mut book = PeerBook::new(vm("vm-1", 10));
-    /// book.list(vm("vm-2", 200));
-    /// assert_eq!(book.lead_place(Moment(0)), 0);
-    /// book.hear(VmKey::of("vm-2"), 1, 1, Moment(0));
-    /// assert_eq!(book.lead_place(Moment(1)), 1);
+    /// let mut table = PeerTable::new(vm("vm-1", 10));
+    /// table.list(vm("vm-2", 200));
+    /// assert_eq!(table.leader_rank(Moment(0)), 0);
+    /// table.hear(VmKey::of("vm-2"), 1, 1, Moment(0));
+    /// assert_eq!(table.leader_rank(Moment(1)), 1);
     /// ```
     pub fn leader_rank(&self, now: Moment) -> usize {
-        let ahead = self.rows.values().filter(|row| {
-            self.is_near_row(row)
-                && row.is_heard_within(SILENCE_TIMEOUT_MILLIS, now)
-                && row.entry.lead_order() < self.own.lead_order()
+        let preceding = self.rows.values().filter(|row| {
+            self.is_local_row(row)
+                && row.sent_within(SILENCE_TIMEOUT_MILLIS, now)
+                && row.entry.leader_order() < self.own.leader_order()
         });
-        ahead.count()
+        preceding.count()
     }
 
-    /// The same with VMs that were listed a short while ago and are expected to be heard: right after a start, all
-    /// others are silent, and each VM would lead.
+    /// Returns this VM's leader rank, counting newly listed VMs as reachable.
+    ///
+    /// Right after a start no digest has been received from any other VM, and by `leader_rank` each VM would
+    /// lead.
     pub fn expected_leader_rank(&self, now: Moment) -> usize {
-        let ahead = self.rows.values().filter(|row| {
-            self.is_near_row(row) && row.is_expected(now) && row.entry.lead_order() < self.own.lead_order()
+        let preceding = self.rows.values().filter(|row| {
+            self.is_local_row(row)
+                && row.is_presumed_reachable(now)
+                && row.entry.leader_order() < self.own.leader_order()
         });
-        ahead.count()
+        preceding.count()
     }
 
-    /// VMs that hand all endpoints to this one when it starts: those of its data centre that go before it as leads, the wide
-    /// ones alone if there are such. None if it is one of the few that list them in the store.
+    /// Returns the VMs from which this VM requests endpoint snapshots at its start.
+    ///
+    /// These are the VMs of its data centre that precede it as leaders; only those with wide links, if there
+    /// are any. Empty if this VM is one of the few that read the endpoints from the store.
     ///
     /// # Examples
     /// ```
-    /// use spanfold_decide::{PeerBook, VmEntry};
+    /// use spanfold_decide::{PeerTable, VmEntry};
     /// let vm = |number: u16, link_mbps| VmEntry {
     ///     name: format!("vm-{number}"),
     ///     address: std::net::SocketAddr::from(([127, 0, 0, 1], number)),
@@ -359,67 +398,74 @@
     ///     incarnation: 1,
     ///     link_mbps,
     /// };
-    /// let mut book = PeerBook::new(vm(5, 20));
-    /// (1..=4).for_each(|number| book.list(vm(number, 20)));
-    /// assert_eq!(book.copy_sources().len(), 4);
-    /// book.list(vm(9, 200));
-    /// assert_eq!(book.copy_sources(), [vm(9, 200).address]);
-    /// let mut first = PeerBook::new(vm(1, 20));
+    /// let mut table = PeerTable::new(vm(5, 20));
+    /// (1..=4).for_each(|number| table.list(vm(number, 20)));
+    /// assert_eq!(table.snapshot_sources().len(), 4);
+    /// table.list(vm(9, 200));
+    /// assert_eq!(table.snapshot_sources(), [vm(9, 200).address]);
+    /// let mut first = PeerTable::new(vm(1, 20));
     /// first.list(vm(2, 20));
-    /// assert!(first.copy_sources().is_empty());
+    /// assert!(first.snapshot_sources().is_empty());
     /// ```
     pub fn snapshot_sources(&self) -> Vec<SocketAddr> {
-        let near = self.rows.values().filter(|row| row.listed && self.is_near_row(row));
-        let ahead: Vec<_> = near.filter(|row| row.entry.lead_order() < self.own.lead_order()).collect();
-        if ahead.len() < LISTERS {
+        let local = self.rows.values().filter(|row| row.listed && self.is_local_row(row));
+        let preceding: Vec<_> =
+            local.filter(|row| row.entry.leader_order() < self.own.leader_order()).collect();
+        if preceding.len() < LISTERS_PER_DATA_CENTRE {
             return Vec::new();
         }
-        let is_wide = |row: &&&PeerRow| row.entry.link_mbps >= self.own.link_mbps.saturating_mul(WIDE_FACTOR);
-        let wide: Vec<_> = ahead.iter().filter(is_wide).map(|row| row.entry.address).collect();
-        if wide.is_empty() { ahead.iter().map(|row| row.entry.address).collect() } else { wide }
+        let is_wide =
+            |row: &&&PeerRow| row.entry.link_mbps >= self.own.link_mbps.saturating_mul(WIDE_LINK_RATIO);
+        let wide: Vec<_> = preceding.iter().filter(is_wide).map(|row| row.entry.address).collect();
+        if wide.is_empty() { preceding.iter().map(|row| row.entry.address).collect() } else { wide }
     }
 
-    /// Whether `vm`, of this data centre, goes before this one as a lead.
+    /// Whether `vm` is in this data centre and precedes this VM as a leader.
     pub fn precedes_as_leader(&self, vm: VmKey) -> bool {
         let row = self.rows.get(&vm);
-        row.is_some_and(|row| self.is_near_row(row) && row.entry.lead_order() < self.own.lead_order())
+        row.is_some_and(|row| self.is_local_row(row) && row.entry.leader_order() < self.own.leader_order())
     }
 
-    /// Addresses of the lead at `place` in each other data centre, as far as this VM can tell.
-    pub fn remote_leaders(&self, place: usize, now: Moment) -> Vec<SocketAddr> {
+    /// Returns the leader with rank `rank` of each other data centre.
+    ///
+    /// Live VMs come first. If a data centre has fewer VMs, its last one is returned.
+    pub fn remote_leaders(&self, rank: usize, now: Moment) -> Vec<SocketAddr> {
         let mut by_centre: BTreeMap<&str, Vec<&PeerRow>> = BTreeMap::new();
-        for row in self.rows.values().filter(|row| !self.is_near_row(row)) {
+        for row in self.rows.values().filter(|row| !self.is_local_row(row)) {
             by_centre.entry(row.entry.data_centre.as_str()).or_default().push(row);
         }
-        let leads = by_centre.into_values().filter_map(|mut rows| {
-            rows.sort_by_key(|row| (!row.is_heard_within(HEARD_MILLIS, now), row.entry.lead_order()));
-            rows.get(place.min(rows.len() - 1)).map(|row| row.entry.address)
+        let leaders = by_centre.into_values().filter_map(|mut rows| {
+            rows.sort_by_key(|row| (!row.sent_within(PEER_TIMEOUT_MILLIS, now), row.entry.leader_order()));
+            rows.get(rank.min(rows.len() - 1)).map(|row| row.entry.address)
         });
-        leads.collect()
+        leaders.collect()
     }
 
-    /// Other data centres with VMs in the book.
+    /// Returns the number of other data centres with VMs in the table.
     pub fn remote_data_centre_count(&self) -> usize {
-        let far = self.rows.values().filter(|row| !self.is_near_row(row));
-        far.map(|row| row.entry.data_centre.as_str()).collect::<BTreeSet<_>>().len()
+        let remote = self.rows.values().filter(|row| !self.is_local_row(row));
+        remote.map(|row| row.entry.data_centre.as_str()).collect::<BTreeSet<_>>().len()
     }
 
-    /// Data centres none of whose VMs, heard before, was heard of late: most likely a cut.
+    /// Returns the data centres that are unreachable, most likely because of a partition.
+    ///
+    /// These are the data centres with VMs from which digests were received, all of which are unreachable
+    /// now.
     pub fn unreachable_data_centres(&self, now: Moment) -> Vec<&str> {
-        let mut heard: BTreeMap<&str, bool> = BTreeMap::new();
-        for row in self.rows.values().filter(|row| row.heard_at.is_some()) {
-            let lately = row.is_heard_within(SILENCE_TIMEOUT_MILLIS, now);
-            *heard.entry(row.entry.data_centre.as_str()).or_default() |= lately;
+        let mut by_centre: BTreeMap<&str, bool> = BTreeMap::new();
+        for row in self.rows.values().filter(|row| row.received_at.is_some()) {
+            let is_reachable = row.sent_within(SILENCE_TIMEOUT_MILLIS, now);
+            *by_centre.entry(row.entry.data_centre.as_str()).or_default() |= is_reachable;
         }
-        heard.into_iter().filter(|(_, lately)| !lately).map(|(data_centre, _)| data_centre).collect()
+        by_centre.into_iter().filter(|(_, is_reachable)| !is_reachable).map(|(centre, _)| centre).collect()
     }
 
-    /// VMs of the deployment as last known, this one included.
+    /// Returns the number of VMs of the deployment: those in the table, and this one.
     pub fn listed_count(&self) -> usize {
         self.rows.len() + 1
     }
 
-    /// This VM's place among the listed ones, by name; zero comes first.
+    /// Returns this VM's index among all VMs of the deployment by name, from zero.
     pub fn own_rank(&self) -> usize {
         self.rows.values().filter(|row| row.entry.name < self.own.name).count()
     }
--- a/crates/decide/src/fleet/route_table.rs
+++ b/crates/decide/src/fleet/route_table.rs
@@ -1,24 +1,24 @@
-//! Which route and which client account a request belongs to.
+//! Lookup of the route and the client account of a request.
 //!
-//! Invariant: among the routes of a host the longest prefix wins. Routes are kept sorted by
-//! falling length, so the first hit is the answer; a trie would save time only with far more
-//! routes for one host than a deployment has.
+//! Invariant: among the routes of a host, the longest matching prefix wins. The routes of a host are sorted
+//! by descending prefix length, so the first match is the result; a trie would save time only with far more
+//! routes of one host than a deployment has.
 
 use crate::{AccountRow, DeploymentConfig, HomeRegions, RouteRow, ServiceWeight};
 use std::collections::HashMap;
 
-/// The configuration in force, indexed for look-up.
+/// The active configuration, indexed by host and by account key.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     config: DeploymentConfig,
     routes_by_host: HashMap<String, Vec<usize>>,
     account_by_key: HashMap<String, usize>,
-    /// Whether any route or account names regions.
+    /// Whether any route or account restricts regions.
     has_homes: bool,
 }
 
 impl RouteTable {
-    /// Indexes `config`.
+    /// Creates a table for `config`.
     pub fn new(config: DeploymentConfig) -> Self {
         let mut routes_by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (row, route) in config.routes.iter().enumerate() {
@@ -39,12 +39,12 @@
         Self { config, routes_by_host, account_by_key, has_homes }
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     pub const fn config(&self) -> &DeploymentConfig {
         &self.config
     }
 
-    /// The route of a request to `path` at `host`; a port in `host` is ignored.
+    /// Returns the route of a request to `path` at `host`, ignoring a port in `host`.
     ///
     /// # Examples
     /// ```
@@ -58,12 +58,14 @@
         rows.iter().map(|row| &self.config.routes[*row]).find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The account that `key` belongs to.
+    /// Returns the account of a key.
     pub fn account(&self, key: &str) -> Option<&AccountRow> {
         self.account_by_key.get(key).map(|row| &self.config.accounts[*row])
     }
 
-    /// The regions that requests to `path` at `host` of the account called `account` may be served in.
+    /// Returns the regions in which a request may be served.
+    ///
+    /// `account` is the name of its client account.
     pub fn homes(&self, host: &str, path: &str, account: Option<&str>) -> HomeRegions<'_> {
         if !self.has_homes {
             return HomeRegions::default();
@@ -73,19 +75,19 @@
         HomeRegions { route, account: row.map_or(&[][..], |row| &row.homes) }
     }
 
-    /// Whether callers of routes that are not public need a key.
+    /// Whether routes that are not public require a key.
     pub fn asks_for_keys(&self) -> bool {
         !self.config.accounts.is_empty()
     }
 }
 
-/// Picks a service by weight; `draw` lies in `0.0..1.0`.
+/// Picks a service at random by weight; `draw` is a sample in `0.0..1.0`.
 pub fn pick_target(targets: &[ServiceWeight], draw: f64) -> Option<&str> {
     let total: f64 = targets.iter().map(|target| target.weight.max(0.0)).sum();
-    let mut rest = draw * total;
+    let mut remaining = draw * total;
     for target in targets {
-        rest -= target.weight.max(0.0);
-        if rest < 0.0 {
+        remaining -= target.weight.max(0.0);
+        if remaining < 0.0 {
             return Some(&target.service);
         }
     }
--- a/crates/decide/src/fleet/store_event.rs
+++ b/crates/decide/src/fleet/store_event.rs
@@ -1,4 +1,4 @@
-//! Items of the platform's store and their changes, as values.
+//! Items of the platform's store, and events that change them.
 
 use crate::StorePosition;
 use serde::{Deserialize, Serialize};
@@ -10,11 +10,11 @@
     pub key: String,
     /// Its value.
     pub value: Vec<u8>,
-    /// When it changed last.
+    /// Position of its last change.
     pub position: StorePosition,
 }
 
-/// One change in the store.
+/// One change of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreEvent {
     /// An item was written.
@@ -23,13 +23,13 @@
     Removed {
         /// The key.
         key: String,
-        /// When it was removed.
+        /// Position of the removal.
         position: StorePosition,
     },
 }
 
 impl StoreEvent {
-    /// The key that changed.
+    /// Returns the key that changed.
     pub fn key(&self) -> &str {
         match self {
             Self::Written(item) => &item.key,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// When it changed.
+    /// Returns the position of the change.
     pub const fn position(&self) -> StorePosition {
         match self {
             Self::Written(item) => item.position,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// About how many bytes the change takes.
+    /// Returns the approximate size of the event in bytes.
     pub fn size(&self) -> usize {
         match self {
             Self::Written(item) => item.key.len() + item.value.len(),
--- a/crates/decide/src/fleet/store_position.rs
+++ b/crates/decide/src/fleet/store_position.rs
@@ -1,16 +1,18 @@
-//! Points in the history of a store that may be restored from a copy.
+//! Positions in the history of a store that may be restored from a backup.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Bits that a revision has in a fencing token; eras stand above them. A store that writes 1,200 times a second needs 29
-/// years to use them up, and the token stays below what a JSON number holds exactly for 8,000 eras.
+/// Low bits of a fencing token for the revision; the era uses the bits above.
+///
+/// A store with 1,200 writes a second needs 29 years to exhaust them. For 8,000 eras, the token stays within
+/// the integers that a JSON number represents exactly.
 const REVISION_BITS: u32 = 40;
 
-/// A point in a store's history, in the order of time.
+/// A position in a store's history: era, then revision.
 ///
-/// A store that is restored from a copy gives out its revisions anew, from the copy's on, and says so by a higher era: a
-/// revision alone does not tell what it is a revision of.
+/// A store that is restored from a backup issues the revisions after the backup's a second time, and raises
+/// its era. So a revision identifies a state of the store only together with the era.
 ///
 /// # Examples
 /// ```
@@ -22,19 +24,19 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StorePosition {
-    /// How often the store has been restored.
+    /// Number of times that the store was restored from a backup.
     pub era: u64,
-    /// Its count of changes.
+    /// Number of changes to the store.
     pub revision: u64,
 }
 
 impl StorePosition {
-    /// A number that rises with positions, for those who compare fencing tokens.
+    /// Returns the position as a fencing token; later positions have larger tokens.
     pub const fn fencing(self) -> u64 {
         (self.era << REVISION_BITS) | self.revision
     }
 
-    /// The position that a fencing token was made of.
+    /// Returns the position that a fencing token encodes.
     ///
     /// # Examples
     /// ```
--- a/crates/decide/src/fleet/update_fragments.rs
+++ b/crates/decide/src/fleet/update_fragments.rs
@@ -1,58 +1,66 @@
-//! Changes of the store cut into pieces that fit into datagrams, and put together again.
+//! Store updates split into fragments that fit into datagrams, and their reassembly.
 //!
-//! Invariant: changes count only as a whole; until the last piece is there, nothing of them is applied.
-//! They are compressed: a configuration of thousands of routes repeats itself, and VMs with narrow links
-//! would otherwise need most of a second of their links for it, in which callers wait.
+//! Invariant: an update is applied as a whole, and only after its last fragment arrived. Updates are
+//! compressed: a configuration of thousands of routes is repetitive, and without compression VMs with narrow
+//! links would need most of a second of link time for it, while callers wait.
 
 use crate::{StoreEvent, StorePosition, VmKey, pack, unpack};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Largest piece, in bytes: a link of 10 Mbit/s takes 13 ms for it.
+/// Largest content of a fragment, in bytes.
+///
+/// A link of 10 Mbit/s takes 13 ms for it.
 pub const PIECE_BYTES: usize = 16 << 10;
-/// Largest changes once decompressed, in bytes: several values of the largest size that a store takes.
-const CONTENT_LIMIT_BYTES: u64 = 8 << 20;
-/// Most pieces of some news: what takes more is not told.
+/// Largest update after decompression, in bytes.
+///
+/// It contains several values of the largest size that a store accepts.
+const MAX_UPDATE_BYTES: u64 = 8 << 20;
+/// Maximum number of fragments of an update; larger updates are not propagated.
 pub const PIECES_LIMIT: usize = 64;
-/// News whose pieces are collected at once: several VMs may tell at once, each of a few changes.
-const OPEN_LIMIT: usize = 16;
+/// Maximum number of updates in reassembly at a time.
+///
+/// Several VMs may propagate a few updates each at once.
+const MAX_OPEN_UPDATES: usize = 16;
 
-/// One piece of changes that a VM tells others.
+/// One fragment of a propagated update.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpdateFragment {
-    /// Its place among the pieces, from zero.
+    /// Its index among the fragments of the update, from zero.
     pub place: u32,
-    /// How many pieces there are.
+    /// Number of fragments of the update.
     pub count: u32,
-    /// Its part of the compressed changes.
+    /// Its section of the compressed update.
     pub content: Vec<u8>,
 }
 
-/// What has come of some news.
+/// State of an update after a fragment was added.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReassemblyProgress {
-    /// All changes.
+    /// The update is complete.
     Whole(Vec<StoreEvent>),
-    /// Pieces are missing still.
+    /// Fragments are missing.
     Partial,
-    /// The pieces make no changes.
+    /// The fragment is invalid, or the fragments cannot be decoded.
     Unreadable,
 }
 
-/// Cuts changes into pieces; none if they are too large to be told.
+/// Splits an update into fragments; `None` if it needs more than `PIECES_LIMIT`.
 ///
-/// No changes have no pieces.
+/// An update without events has no fragments.
 ///
 /// # Examples
 /// ```
-/// use spanfold_decide::{NewsAssembly, NewsProgress, StoreEvent, StorePosition, VmKey, cut_news};
+/// use spanfold_decide::{
+///     ReassemblyProgress, StoreEvent, StorePosition, UpdateReassembly, VmKey, split_update,
+/// };
 /// let at = |revision| StorePosition { era: 1, revision };
 /// let events = vec![StoreEvent::Removed { key: "a".into(), position: at(7) }];
-/// let pieces = cut_news(&events).unwrap();
-/// assert_eq!(pieces.len(), 1);
-/// let mut assembly = NewsAssembly::default();
-/// let progress = assembly.take(VmKey::of("vm-1"), at(6), at(7), &pieces[0]);
-/// assert_eq!(progress, NewsProgress::Whole(events));
+/// let fragments = split_update(&events).unwrap();
+/// assert_eq!(fragments.len(), 1);
+/// let mut reassembly = UpdateReassembly::default();
+/// let progress = reassembly.take(VmKey::of("vm-1"), at(6), at(7), &fragments[0]);
+/// assert_eq!(progress, ReassemblyProgress::Whole(events));
 /// ```
 pub fn split_update(events: &[StoreEvent]) -> Option<Vec<UpdateFragment>> {
     if events.is_empty() {
@@ -63,66 +71,68 @@
     if count as usize > PIECES_LIMIT {
         return None;
     }
-    let pieces = packed.chunks(PIECE_BYTES).zip(0..);
-    Some(pieces.map(|(content, place)| UpdateFragment { place, count, content: content.to_vec() }).collect())
+    let chunks = packed.chunks(PIECE_BYTES).zip(0..);
+    Some(chunks.map(|(content, place)| UpdateFragment { place, count, content: content.to_vec() }).collect())
 }
 
-/// Pieces of one VM's news.
+/// An update in reassembly.
 #[derive(Debug)]
-struct OpenNews {
-    teller: VmKey,
+struct OpenUpdate {
+    reporter: VmKey,
     from: StorePosition,
     to: StorePosition,
-    pieces: Vec<Option<Vec<u8>>>,
+    fragments: Vec<Option<Vec<u8>>>,
 }
 
-impl OpenNews {
-    fn is_of(&self, teller: VmKey, from: StorePosition, to: StorePosition, count: u32) -> bool {
-        (self.teller, self.from, self.to, self.pieces.len()) == (teller, from, to, count as usize)
+impl OpenUpdate {
+    fn matches(&self, reporter: VmKey, from: StorePosition, to: StorePosition, count: u32) -> bool {
+        (self.reporter, self.from, self.to, self.fragments.len()) == (reporter, from, to, count as usize)
     }
 }
 
-/// Collects the pieces of other VMs' news.
+/// Reassembles the updates of other VMs from their fragments.
 #[derive(Debug, Default)]
-pub struct UpdateReassembly(VecDeque<OpenNews>);
+pub struct UpdateReassembly(VecDeque<OpenUpdate>);
 
 impl UpdateReassembly {
-    /// Takes a piece of the changes between two positions; tells what has come of them.
+    /// Adds a fragment of the update between two positions; returns the state of the update.
     pub fn take(
         &mut self,
-        teller: VmKey,
+        reporter: VmKey,
         from: StorePosition,
         to: StorePosition,
-        piece: &UpdateFragment,
+        fragment: &UpdateFragment,
     ) -> ReassemblyProgress {
-        let (place, count) = (piece.place as usize, piece.count as usize);
-        if place >= count || count > PIECES_LIMIT || piece.content.len() > PIECE_BYTES {
+        let (index, count) = (fragment.place as usize, fragment.count as usize);
+        if index >= count || count > PIECES_LIMIT || fragment.content.len() > PIECE_BYTES {
             return ReassemblyProgress::Unreadable;
         }
-        let open = self.open(teller, from, to, piece.count);
-        self.0[open].pieces[place] = Some(piece.content.clone());
-        if self.0[open].pieces.iter().any(Option::is_none) {
+        let open = self.open(reporter, from, to, fragment.count);
+        self.0[open].fragments[index] = Some(fragment.content.clone());
+        if self.0[open].fragments.iter().any(Option::is_none) {
             return ReassemblyProgress::Partial;
         }
-        let pieces = self.0.remove(open).map(|news| news.pieces).unwrap_or_default();
-        let packed: Vec<u8> = pieces.into_iter().flatten().flatten().collect();
-        unpack(&packed, CONTENT_LIMIT_BYTES).map_or(ReassemblyProgress::Unreadable, ReassemblyProgress::Whole)
+        let fragments = self.0.remove(open).map(|update| update.fragments).unwrap_or_default();
+        let packed: Vec<u8> = fragments.into_iter().flatten().flatten().collect();
+        unpack(&packed, MAX_UPDATE_BYTES).map_or(ReassemblyProgress::Unreadable, ReassemblyProgress::Whole)
     }
 
-    /// Forgets pieces of changes up to `position`: they are known.
+    /// Discards fragments of updates up to `position`, which this VM has applied.
     pub fn discard_up_to(&mut self, position: StorePosition) {
-        self.0.retain(|news| news.to > position);
+        self.0.retain(|update| update.to > position);
     }
 
-    /// Where the pieces of these news are collected; the oldest others make room.
-    fn open(&mut self, teller: VmKey, from: StorePosition, to: StorePosition, count: u32) -> usize {
-        if let Some(place) = self.0.iter().position(|news| news.is_of(teller, from, to, count)) {
-            return place;
+    /// Returns the index of an update in reassembly, which is created if missing.
+    ///
+    /// Evicts the oldest update if there are too many.
+    fn open(&mut self, reporter: VmKey, from: StorePosition, to: StorePosition, count: u32) -> usize {
+        if let Some(index) = self.0.iter().position(|update| update.matches(reporter, from, to, count)) {
+            return index;
         }
-        if self.0.len() >= OPEN_LIMIT {
+        if self.0.len() >= MAX_OPEN_UPDATES {
             self.0.pop_front();
         }
-        self.0.push_back(OpenNews { teller, from, to, pieces: vec![None; count as usize] });
+        self.0.push_back(OpenUpdate { reporter, from, to, fragments: vec![None; count as usize] });
         self.0.len() - 1
     }
 }
--- a/crates/decide/src/fleet/update_history.rs
+++ b/crates/decide/src/fleet/update_history.rs
@@ -1,19 +1,23 @@
-//! The store's changes of the last seconds, for VMs that missed some.
+//! The store's updates of the last seconds, for VMs that missed some of them.
 //!
-//! Invariant: what is handed out is whole from the position asked for to the newest one known here.
+//! Invariant: an answer contains every update from the requested position to the newest one recorded here.
 
 use crate::{StoreEvent, StorePosition};
 use spanfold_entity::Moment;
 use std::collections::VecDeque;
 
-/// Changes are kept for this long, in milliseconds: several times what a VM needs to notice a gap.
-const KEPT_MILLIS: u64 = 15_000;
-/// Steps kept at most.
-const STEPS_LIMIT: usize = 256;
-/// Bytes kept at most: a few values of the largest size that a store takes.
-const BYTES_LIMIT: usize = 4 << 20;
+/// Updates are retained for this long, in milliseconds.
+///
+/// This is several times what a VM needs to detect a gap.
+const RETENTION_MILLIS: u64 = 15_000;
+/// Maximum number of retained steps.
+const MAX_STEPS: usize = 256;
+/// Maximum number of retained bytes.
+///
+/// This is a few values of the largest size that a store accepts.
+const MAX_HISTORY_BYTES: usize = 4 << 20;
 
-/// One step from one position to another.
+/// The events between two positions.
 #[derive(Debug)]
 struct HistoryStep {
     from: StorePosition,
@@ -22,12 +26,12 @@
     events: Vec<StoreEvent>,
 }
 
-/// Steps that follow one another without a gap.
+/// A sequence of steps without a gap.
 #[derive(Debug, Default)]
 pub struct UpdateHistory(VecDeque<HistoryStep>);
 
 impl UpdateHistory {
-    /// Adds a step. One that does not follow the last one begins the history anew.
+    /// Adds a step; clears the history first if there is a gap before it.
     pub fn push(&mut self, from: StorePosition, to: StorePosition, events: &[StoreEvent], now: Moment) {
         if from >= to {
             return;
@@ -36,9 +40,9 @@
             self.0.clear();
         }
         self.0.push_back(HistoryStep { from, to, at: now, events: events.to_vec() });
-        while self.0.len() > STEPS_LIMIT
-            || self.bytes() > BYTES_LIMIT
-            || self.0.front().is_some_and(|first| now >= first.at.after_millis(KEPT_MILLIS))
+        while self.0.len() > MAX_STEPS
+            || self.bytes() > MAX_HISTORY_BYTES
+            || self.0.front().is_some_and(|first| now >= first.at.after_millis(RETENTION_MILLIS))
         {
             self.0.pop_front();
         }
@@ -48,14 +52,18 @@
         self.0.iter().flat_map(|step| &step.events).map(StoreEvent::size).sum()
     }
 
-    /// All changes after `position`, and the position that they lead to; none if some are not known.
+    /// Returns all events after `position`, and the newest position.
+    ///
+    /// Returns `None` if some of these events are missing here, or `position` is the newest.
+    ///
+    /// A step that contains `position` is returned whole.
     ///
     /// # Examples
     /// ```
     /// use spanfold_entity::Moment;
-    /// use spanfold_decide::{NewsHistory, StorePosition};
+    /// use spanfold_decide::{StorePosition, UpdateHistory};
     /// let at = |revision| StorePosition { era: 1, revision };
-    /// let mut history = NewsHistory::default();
+    /// let mut history = UpdateHistory::default();
     /// history.push(at(4), at(7), &[], Moment(0));
     /// assert_eq!(history.since(at(4)), Some((at(7), vec![])));
     /// assert_eq!(history.since(at(3)), None);
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,17 +1,17 @@
-//! Decisions of a gateway, and the soft state that they read, as values.
+//! Decisions of a gateway and the soft state on which they depend, without I/O.
 //!
-//! Invariant: nothing here reads or writes anything outside the process, nor asks for the time: each
-//! decision is a function of the state and of a [`Moment`](spanfold_entity::Moment) that its caller names. So each can be
-//! tested, and replayed, without a network; the gateway's tasks carry out what is decided.
+//! Invariant: nothing here does I/O or reads a clock. Each decision is a function of the state and of a
+//! [`Moment`](spanfold_entity::Moment) that the caller passes, so it can be tested and replayed without a
+//! network. The gateway's tasks carry the decisions out.
 //!
-//! | folder | decides |
+//! | folder | content |
 //! | --- | --- |
-//! | `fleet` | what is there: endpoints with their loads, VMs, routes, the store's changes |
-//! | `kept` | what is kept where, and which parts of a prompt move or are saved |
-//! | `admit` | where a request goes, whether it is refused, whether it is sent again |
-//! | `quarantine` | which requests are held back because endpoints end under them |
+//! | `fleet` | state of the deployment: endpoints with their loads, VMs, routes, updates of the store |
+//! | `kept` | contents of engines and cache stores, and which segments of a prompt are transferred or saved |
+//! | `admit` | placement of requests, refusal, and repeated sends |
+//! | `quarantine` | which requests are quarantined because endpoints crash under them |
 //! | `weights` | which engine loads which weights next |
-//! | `rollout` | which share of a service's requests goes to a new version, and whether that is kept |
+//! | `rollout` | which share of a service's requests goes to a new version, and whether it is rolled back |
 
 mod admit;
 mod fleet;
