--- a/crates/decide/tests/peer_loads.rs
+++ b/crates/decide/tests/peer_loads.rs
@@ -1,4 +1,6 @@
-//! Loads that peers tell: whatever comes in whatever order, the sums are those of what each told last.
+//! Sums of the loads that VMs report.
+//!
+//! In any order of digests, a sum is that of the newest digest of each VM.
 
 use proptest::prelude::*;
 use spanfold_decide::{DeploymentConfig, ServiceRow};
@@ -8,14 +10,14 @@
 
 const ENDPOINTS: usize = 4;
 /// A peer's load counts for this long, in milliseconds.
-const COUNTS_MILLIS: u64 = 1_500;
+const REPORT_LIFETIME_MILLIS: u64 = 1_500;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A VM tells its loads: endpoint and running requests.
+    /// A VM reports its loads: endpoint and running requests.
     Digest(u64, Vec<(usize, u32)>),
     /// Time passes, in milliseconds.
-    Rest(u64),
+    Wait(u64),
     Sweep,
 }
 
@@ -23,7 +25,7 @@
     let rows = proptest::collection::btree_map(0..ENDPOINTS, 1..9_u32, 0..ENDPOINTS);
     prop_oneof![
         (0..3_u64, rows).prop_map(|(vm, rows)| Step::Digest(vm, rows.into_iter().collect())),
-        (0..2_000_u64).prop_map(Step::Rest),
+        (0..2_000_u64).prop_map(Step::Wait),
         Just(Step::Sweep),
     ]
 }
@@ -60,9 +62,9 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn sums_are_those_of_the_last_digests_that_count(steps in proptest::collection::vec(step(), 1..60)) {
+    fn sums_are_those_of_the_newest_valid_digests(steps in proptest::collection::vec(step(), 1..60)) {
         let mut table = table();
-        let mut told: BTreeMap<u64, (Moment, Vec<(usize, u32)>)> = BTreeMap::new();
+        let mut digests: BTreeMap<u64, (Moment, Vec<(usize, u32)>)> = BTreeMap::new();
         let mut now = Moment(0).after_millis(5_000);
         for step in steps {
             match step {
@@ -70,14 +72,14 @@
                     let loads: Vec<_> =
                         rows.iter().map(|(endpoint, running)| (key(*endpoint), load(*running))).collect();
                     table.apply_peer_loads(LoadSource::Vm(VmKey(vm)), &loads, now);
-                    told.insert(vm, (now, rows));
+                    digests.insert(vm, (now, rows));
                 }
-                Step::Rest(millis) => now = now.after_millis(millis),
+                Step::Wait(millis) => now = now.after_millis(millis),
                 Step::Sweep => drop(table.sweep(now)),
             }
             for endpoint in 0..ENDPOINTS {
-                let counted = told.values().filter(|(at, _)| now < at.after_millis(COUNTS_MILLIS));
-                let rows = counted.flat_map(|(_, rows)| rows).filter(|(other, _)| *other == endpoint);
+                let counted = digests.values().filter(|(at, _)| now < at.after_millis(REPORT_LIFETIME_MILLIS));
+                let rows = counted.flat_map(|(_, rows)| rows).filter(|(row_endpoint, _)| *row_endpoint == endpoint);
                 let running = rows.map(|(_, running)| running).sum();
                 prop_assert_eq!(table.row(key(endpoint)).unwrap().load(now), load(running));
             }
@@ -86,7 +88,7 @@
 }
 
 #[test]
-fn a_link_that_a_digest_names_no_more_is_at_rest() {
+fn a_link_that_a_digest_no_longer_contains_is_idle() {
     let spec = StoreSpec {
         address: "127.0.0.1:8".parse().unwrap(),
         data_centre: "dc-a".to_owned(),
@@ -100,13 +102,15 @@
         .map(|name| (name.to_owned(), ServiceRow { store: Some(spec.clone()), ..ServiceRow::default() }));
     let mut table = FleetTable::default();
     table.set_services(&DeploymentConfig { services: services.into(), ..DeploymentConfig::default() });
-    let (one, other) = (EndpointKey::of("a"), EndpointKey::of("b"));
-    let rest = table.store(one).unwrap().transfer_time_micros(5_000, "dc-a", Moment(0));
+    let (first, second) = (EndpointKey::of("a"), EndpointKey::of("b"));
+    let idle_micros = table.store(first).unwrap().transfer_time_micros(5_000, "dc-a", Moment(0));
     let source = LoadSource::Vm(VmKey(1));
-    table.apply_peer_transfers(source, &[(one, 40_000, Some(3.0)), (other, 1_000, None)], Moment(0));
-    assert!(table.store(one).unwrap().transfer_time_micros(5_000, "dc-a", Moment(0)) > rest + 40_000.0);
-    table.apply_peer_transfers(source, &[(other, 1_000, None)], Moment(0));
-    let now_rests = table.store(one).unwrap().transfer_time_micros(5_000, "dc-a", Moment(0));
-    assert!((now_rests - rest).abs() < 1e-6, "{now_rests} {rest}");
-    assert!(table.store(other).unwrap().transfer_time_micros(5_000, "dc-a", Moment(0)) > rest);
+    table.apply_peer_transfers(source, &[(first, 40_000, Some(3.0)), (second, 1_000, None)], Moment(0));
+    assert!(
+        table.store(first).unwrap().transfer_time_micros(5_000, "dc-a", Moment(0)) > idle_micros + 40_000.0
+    );
+    table.apply_peer_transfers(source, &[(second, 1_000, None)], Moment(0));
+    let idle_again_micros = table.store(first).unwrap().transfer_time_micros(5_000, "dc-a", Moment(0));
+    assert!((idle_again_micros - idle_micros).abs() < 1e-6, "{idle_again_micros} {idle_micros}");
+    assert!(table.store(second).unwrap().transfer_time_micros(5_000, "dc-a", Moment(0)) > idle_micros);
 }
--- a/crates/decide/tests/update_history.rs
+++ b/crates/decide/tests/update_history.rs
@@ -1,4 +1,4 @@
-//! Which changes of the store a VM can hand to one that missed some.
+//! History of store updates, from which a VM answers VMs that missed some.
 
 use spanfold_decide::{StoreEvent, StoreItem, StorePosition, UpdateHistory};
 use spanfold_entity::Moment;
@@ -16,20 +16,20 @@
 }
 
 #[test]
-fn all_changes_after_a_revision_are_told_or_none() {
+fn all_events_after_a_position_are_returned_or_none() {
     let mut history = UpdateHistory::default();
     history.push(rev(2), rev(5), &[removed(4), removed(5)], at(0));
     history.push(rev(5), rev(5), &[], at(0));
     history.push(rev(5), rev(9), &[removed(8)], at(1));
     assert_eq!(history.since(rev(2)), Some((rev(9), vec![removed(4), removed(5), removed(8)])));
-    // Told from the middle of a step: what is told twice does no harm.
+    // A step that contains the position is returned whole: events applied twice have no further effect.
     assert_eq!(history.since(rev(4)), Some((rev(9), vec![removed(4), removed(5), removed(8)])));
     assert_eq!(history.since(rev(5)), Some((rev(9), vec![removed(8)])));
     assert_eq!((history.since(rev(1)), history.since(rev(9)), history.since(rev(12))), (None, None, None));
 }
 
 #[test]
-fn a_gap_and_age_end_what_can_be_told() {
+fn a_gap_and_expiry_shorten_the_history() {
     let mut history = UpdateHistory::default();
     history.push(rev(2), rev(5), &[removed(4)], at(0));
     history.push(rev(7), rev(9), &[removed(8)], at(1));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn large_changes_push_older_ones_out() {
+fn large_updates_evict_older_ones() {
     let large = |revision: u64| {
         StoreEvent::Written(StoreItem {
             key: "key".to_owned(),
@@ -58,11 +58,11 @@
 }
 
 #[test]
-fn changes_before_a_restore_are_not_told_to_those_behind_it() {
+fn updates_of_an_earlier_era_are_not_returned_after_a_restore() {
     let mut history = UpdateHistory::default();
     history.push(rev(2), rev(9), &[removed(8)], at(0));
     let restored = |revision| StorePosition { era: 2, revision };
-    // Listed anew at 2:6; then changes follow.
+    // The store is listed again at position 2:6, and updates follow.
     history.push(restored(6), restored(7), &[], at(1));
     assert_eq!((history.since(rev(2)), history.since(rev(9))), (None, None));
     assert_eq!(history.since(restored(6)), Some((restored(7), vec![])));
