--- a/crates/decide/src/admit/admission.rs
+++ b/crates/decide/src/admit/admission.rs
@@ -1,83 +1,85 @@
-//! Whether a prompt goes to its engine now, waits at this VM, or is refused.
+//! Admission of prompts: dispatch to an engine, queueing at this VM, or refusal.
 //!
-//! Pattern: more prompts than engines have memory for, by a burst of twice the traffic or while a third of the
-//! engines are gone. An engine takes in what it is sent, and when its memory runs out it throws away the newest run,
-//! which is then read again from its start: each such run makes the next one more likely, and an overload outlasts
-//! its cause. So a prompt that no engine has room for waits here, where it costs nothing and can still go to
-//! whichever engine gets room first.
+//! Overload arises when a burst doubles the traffic or a third of the engines fail. An engine accepts every
+//! prompt it is sent. When its memory runs out, it preempts the newest run, which is then prefilled again
+//! from its start. Each recomputed run makes the next preemption more likely, so an overload outlasts its
+//! cause. Prompts for which no engine has free memory therefore wait at this VM, where they use no engine
+//! memory and can still go to whichever engine gets free capacity first.
 //!
-//! Invariants: a prompt that can be in time goes before one that cannot, because it may fill more of an engine's
-//! memory; the first to be refused is the one whose caller would leave before its first event. That answer goes out as
-//! soon as it is known, not when the caller's time is over.
+//! Invariants: prompts that can still be answered in time take priority over late ones, because they may fill
+//! a larger fraction of an engine's memory. The first prompt refused is the one whose caller would disconnect
+//! before its first event. The refusal is sent as soon as this is certain, not when the caller's timeout has
+//! passed.
 
 use crate::PlacementChoice;
 use spanfold_entity::Moment;
 
-/// Part of an engine's memory that prompts of the highest rank may take while they can be in time. It is above one,
-/// because shared parts are counted for each prompt but kept once.
-const MEMORY_PART: f64 = 1.15;
-/// Each lower rank may take so much less, so that the last room is left to more urgent prompts.
-const RANK_PART: f64 = 0.05;
-/// Part that any prompt in time may take, whatever its rank.
-const MEMORY_PART_LEAST: f64 = 1.0;
-/// Part for prompts that will be late anyway: they must not make others late.
-const LATE_MEMORY_PART: f64 = 0.85;
-/// An answer expected within this part of the objective counts as in time: what is beyond covers the spread of what
-/// is expected.
-const IN_TIME_PART: f64 = 0.95;
-/// Work that waits at an engine delays nobody else as long as it takes less than this part of the objective.
-const QUIET_PART: f64 = 0.25;
-/// A first event is only worth sending a prompt for if it comes within this part of the time after which callers leave:
-/// some leave sooner, and what is expected may be exceeded.
-const PATIENCE_PART: f64 = 0.7;
-/// When a refused caller may come back, in milliseconds: about the time in which an engine ends a few runs.
-const BACK_MILLIS: u64 = 300;
+/// Fraction of an engine's memory that in-time prompts of the highest priority may fill. It exceeds one
+/// because shared segments are counted for each prompt but stored once.
+const MAX_MEMORY_FRACTION: f64 = 1.15;
+/// Reduction of this fraction per priority level. It leaves the last free memory to more urgent prompts.
+const PRIORITY_MEMORY_FRACTION: f64 = 0.05;
+/// Memory fraction that any in-time prompt may fill, whatever its priority.
+const MIN_MEMORY_FRACTION: f64 = 1.0;
+/// Memory fraction for prompts that will be late anyway: they must not make others late.
+const LATE_MEMORY_FRACTION: f64 = 0.85;
+/// An answer expected within this fraction of the objective counts as in time. The remainder covers the
+/// spread of the estimates.
+const IN_TIME_FRACTION: f64 = 0.95;
+/// Queue at an engine that delays no other request, as a fraction of the objective.
+const SHORT_QUEUE_FRACTION: f64 = 0.25;
+/// Time for which a prompt may wait, as a fraction of the time after which callers disconnect. Its first
+/// event must be expected by then: some callers disconnect earlier, and the estimate may be exceeded.
+const MAX_WAIT_FRACTION: f64 = 0.7;
+/// Delay after which a refused caller may retry, in milliseconds: about the time in which an engine finishes
+/// a few runs.
+const RETURN_DELAY_MILLIS: u64 = 300;
 
-/// In a deployment of this many VMs, a waiting prompt takes every second chance.
-const LOOKING_VMS: f64 = 5.0;
+/// Number of VMs at which a waiting prompt claims free capacity at every second poll.
+const HALF_PROBABILITY_VMS: f64 = 5.0;
 
-/// Part of the looks at which a waiting prompt takes room that it sees, in a deployment of `vms` VMs.
+/// Returns the probability with which a waiting prompt claims free capacity at a poll.
 ///
-/// Many VMs with waiting prompts learn of one engine's free memory at the same time, and all would send there. Each
-/// draws a random number instead.
+/// Many VMs with waiting prompts learn of the same engine's free memory at the same time, and all would send
+/// there. Each of the `vms` VMs makes a random draw with this probability instead.
 ///
 /// # Examples
 /// ```
-/// use spanfold_decide::take_part;
-/// assert!(take_part(9) > 0.3 && take_part(82) < 0.1);
+/// use spanfold_decide::claim_probability;
+/// assert!(claim_probability(9) > 0.3 && claim_probability(82) < 0.1);
 /// ```
 pub fn claim_probability(vms: usize) -> f64 {
-    1.0 / (1.0 + vms as f64 / LOOKING_VMS)
+    1.0 / (1.0 + vms as f64 / HALF_PROBABILITY_VMS)
 }
 
-/// What decides whether a prompt goes, waits or is refused.
+/// Properties of a prompt that decide its admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionView {
-    /// When it arrived.
+    /// Time at which the prompt arrived.
     pub received: Moment,
-    /// When its answer must be out.
+    /// Deadline for the answer.
     pub limit: Moment,
-    /// Latency objective of its route, in milliseconds.
+    /// Latency objective of the route, in milliseconds.
     pub objective_millis: u64,
-    /// Time without an event after which its caller leaves, in milliseconds.
+    /// Time without an event after which the caller disconnects, in milliseconds.
     pub silence_millis: u64,
-    /// Its rank; zero is the most urgent.
+    /// Priority of the prompt; zero is the most urgent.
     pub rank: u8,
 }
 
-/// What becomes of a prompt now.
+/// Admission decision for a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionVerdict {
-    /// It goes to the engine that was chosen.
+    /// The prompt is sent to the chosen engine.
     Go,
-    /// It waits here: an engine may have room later.
+    /// The prompt waits at this VM: an engine may have free capacity later.
     Wait,
-    /// Its caller would leave before the first event; it may come back after so many milliseconds.
+    /// The caller would disconnect before the first event; it may retry after this many milliseconds.
     Refuse(u64),
 }
 
 impl AdmissionView {
-    /// Part of an engine's memory that the prompt may fill up now.
+    /// Returns the fraction of an engine's memory that the prompt may fill at `now`.
     ///
     /// # Examples
     /// ```
@@ -86,16 +88,16 @@
     /// let view = AdmissionView {
     ///     received: Moment(0), limit: Moment(3_000_000), objective_millis: 500, silence_millis: 2_000, rank: 1,
     /// };
-    /// assert!(view.memory_part(Moment(0)) > view.memory_part(Moment(600_000)));
+    /// assert!(view.memory_fraction(Moment(0)) > view.memory_fraction(Moment(600_000)));
     /// ```
     pub fn memory_fraction(&self, now: Moment) -> f64 {
-        if now >= self.in_time_until() {
-            return LATE_MEMORY_PART;
+        if now >= self.in_time_deadline() {
+            return LATE_MEMORY_FRACTION;
         }
-        (MEMORY_PART - RANK_PART * f64::from(self.rank)).max(MEMORY_PART_LEAST)
+        (MAX_MEMORY_FRACTION - PRIORITY_MEMORY_FRACTION * f64::from(self.rank)).max(MIN_MEMORY_FRACTION)
     }
 
-    /// Decides on a prompt whose best place is `choice`.
+    /// Decides on a prompt for which `choice` is the best endpoint.
     ///
     /// # Examples
     /// ```
@@ -105,27 +107,28 @@
     ///     received: Moment(0), limit: Moment(3_000_000), objective_millis: 500, silence_millis: 2_000, rank: 0,
     /// };
     /// let free = PlacementChoice { expected_micros: 200_000, ..PlacementChoice::default() };
-    /// let full = PlacementChoice { over_tokens: 900, ..free.clone() };
+    /// let full = PlacementChoice { excess_tokens: 900, ..free.clone() };
     /// assert_eq!(view.admit(&free, Moment(0)), AdmissionVerdict::Go);
     /// assert_eq!(view.admit(&full, Moment(0)), AdmissionVerdict::Wait);
     /// assert!(matches!(view.admit(&full, Moment(1_900_000)), AdmissionVerdict::Refuse(_)));
     /// ```
     pub fn admit(&self, choice: &PlacementChoice, now: Moment) -> AdmissionVerdict {
-        let first_at = now.after_micros(choice.expected_micros);
-        let in_time = first_at <= self.in_time_until();
-        let quiet = choice.queue_micros as f64 <= self.objective_millis as f64 * 1_000.0 * QUIET_PART;
-        if choice.excess_tokens == 0 && (in_time || quiet) {
+        let first_event_at = now.after_micros(choice.expected_micros);
+        let is_in_time = first_event_at <= self.in_time_deadline();
+        let is_queue_short =
+            choice.queue_micros as f64 <= self.objective_millis as f64 * 1_000.0 * SHORT_QUEUE_FRACTION;
+        if choice.excess_tokens == 0 && (is_in_time || is_queue_short) {
             return AdmissionVerdict::Go;
         }
-        let patience = (self.silence_millis as f64 * PATIENCE_PART) as u64;
-        if first_at < self.received.after_millis(patience).min(self.limit) {
+        let max_wait_millis = (self.silence_millis as f64 * MAX_WAIT_FRACTION) as u64;
+        if first_event_at < self.received.after_millis(max_wait_millis).min(self.limit) {
             AdmissionVerdict::Wait
         } else {
-            AdmissionVerdict::Refuse(BACK_MILLIS)
+            AdmissionVerdict::Refuse(RETURN_DELAY_MILLIS)
         }
     }
 
-    fn in_time_until(&self) -> Moment {
-        self.received.after_micros((self.objective_millis as f64 * 1_000.0 * IN_TIME_PART) as u64)
+    fn in_time_deadline(&self) -> Moment {
+        self.received.after_micros((self.objective_millis as f64 * 1_000.0 * IN_TIME_FRACTION) as u64)
     }
 }
--- a/crates/decide/src/admit/blocked_counts.rs
+++ b/crates/decide/src/admit/blocked_counts.rs
@@ -1,47 +1,48 @@
-//! Why a request finds no endpoint, in counts of the endpoints that do not take it.
+//! Counts of the endpoints that do not accept a request, by reason.
 
 use crate::{FleetTable, PlacementRequest};
 use spanfold_entity::Moment;
 use std::fmt;
 
-/// Endpoints of a service by the first reason for which they do not take a request, the strictest first.
+/// Counts of a service's endpoints that do not accept a request. Each is counted by the first reason that
+/// applies, the strictest reason first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BlockedCounts {
-    /// All that are listed.
+    /// All listed endpoints.
     pub listed: usize,
-    /// They leave, or their entries are gone or cannot be read.
-    pub leaving: usize,
-    /// Their data centre is evacuated.
+    /// Endpoints that are departing, or whose entries are missing or unreadable.
+    pub departing: usize,
+    /// Endpoints in an evacuated data centre.
     pub evacuated: usize,
-    /// They stand outside the regions of the request.
-    pub elsewhere: usize,
-    /// The request may not go to their version while its service moves to another one.
-    pub version: usize,
-    /// The request was sent to them before.
+    /// Endpoints outside the home regions of the request.
+    pub outside_homes: usize,
+    /// Endpoints whose version the request may not use during a rollout.
+    pub other_version: usize,
+    /// Endpoints to which the request was sent before.
     pub tried: usize,
-    /// They asked this VM for rest, or return from one.
-    pub resting: usize,
-    /// They name a limit or are cold, and this VM's part is used up.
+    /// Endpoints that asked this VM to back off, or are returning from a backoff.
+    pub backing_off: usize,
+    /// Endpoints with a limit, or cold, for which this VM's share is used up.
     pub limited: usize,
-    /// Sends to them failed, or VMs that tried them report so.
+    /// Endpoints to which sends failed, at this VM or by the reports of other VMs.
     pub ejected: usize,
-    /// Their weights are being changed.
-    pub closing: usize,
+    /// Endpoints that are cordoned because their weights are being changed.
+    pub cordoned: usize,
 }
 
 impl fmt::Display for BlockedCounts {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{} listed", self.listed)?;
         let reasons = [
-            ("leaving", self.leaving),
+            ("leaving", self.departing),
             ("evacuated", self.evacuated),
-            ("elsewhere", self.elsewhere),
-            ("of another version", self.version),
+            ("elsewhere", self.outside_homes),
+            ("of another version", self.other_version),
             ("tried", self.tried),
-            ("resting", self.resting),
+            ("resting", self.backing_off),
             ("limited", self.limited),
             ("ejected", self.ejected),
-            ("closing", self.closing),
+            ("closing", self.cordoned),
         ];
         reasons
             .iter()
@@ -51,30 +52,30 @@
 }
 
 impl FleetTable {
-    /// Counts why the endpoints of a service do not take a request.
-    pub fn blocked(&self, ask: &PlacementRequest<'_>, now: Moment) -> BlockedCounts {
+    /// Counts the endpoints of a service that do not accept a request, by reason.
+    pub fn blocked(&self, request: &PlacementRequest<'_>, now: Moment) -> BlockedCounts {
         let mut counts = BlockedCounts::default();
-        for (key, row) in self.rows_of(ask.service) {
+        for (key, row) in self.rows_of(request.service) {
             counts.listed += 1;
-            let rests = row.rest.next_at(now) > now;
+            let is_backing_off = row.rest.next_at(now) > now;
             let reason = if row.is_departing(now) {
-                &mut counts.leaving
+                &mut counts.departing
             } else if !row.takes_work(now) {
                 &mut counts.evacuated
-            } else if !self.is_home(ask.homes, &row.entry.data_centre) {
-                &mut counts.elsewhere
-            } else if !ask.versions.allows(key, row) {
-                &mut counts.version
-            } else if ask.exclude.contains(&key) {
+            } else if !self.is_home(request.homes, &row.entry.data_centre) {
+                &mut counts.outside_homes
+            } else if !request.versions.allows(key, row) {
+                &mut counts.other_version
+            } else if request.exclude.contains(&key) {
                 &mut counts.tried
-            } else if rests {
-                &mut counts.resting
-            } else if self.next_share(key, row, &ask.shares, now) != Some(now) {
+            } else if is_backing_off {
+                &mut counts.backing_off
+            } else if self.next_share(key, row, &request.shares, now) != Some(now) {
                 &mut counts.limited
             } else if row.is_ejected(now) {
                 &mut counts.ejected
             } else if row.is_closing(now) {
-                &mut counts.closing
+                &mut counts.cordoned
             } else {
                 continue;
             };
--- a/crates/decide/src/admit/endpoint_sample.rs
+++ b/crates/decide/src/admit/endpoint_sample.rs
@@ -1,38 +1,41 @@
-//! Which endpoints a request weighs where there are very many.
+//! Random sample of endpoints that placement evaluates in large deployments.
 //!
-//! Pattern: an engine that keeps a part that most prompts share is the best one for all VMs at once. What one VM sends there the
-//! others learn some tenths of a second later, so with hundreds of VMs tens of prompts meet at one engine while thousands
-//! stand idle. A VM that weighs a random few of its data centre's engines finds one that keeps the part as soon as enough do, and
-//! until then others come to keep it.
+//! An engine that has cached a segment shared by most prompts is the best one for all VMs at once. The sends
+//! of one VM become visible to the others some tenths of a second later, so with hundreds of VMs tens of
+//! prompts meet at one engine while thousands are idle. A VM that evaluates a random sample of its data
+//! centre's engines finds one that has cached the segment once enough engines have; until then, sampling
+//! makes other engines cache it too.
 //!
-//! Invariant: the share of the requests of a data centre that one endpoint can attract is that of the sample, and the time of a choice
-//! does not grow with the deployment.
+//! Invariant: an endpoint attracts at most the share of its data centre's requests whose sample contains it,
+//! and the time to choose an endpoint does not grow with the deployment.
 
 use crate::{EndpointKey, FleetTable, PlacementRequest};
 use spanfold_entity::Moment;
 
-/// Up to so many endpoints of a service all are weighed.
-const ALL_MOST: usize = 512;
-/// Endpoints in a sample.
-const SAMPLE_COUNT: usize = 64;
-/// Endpoints that are drawn for it at most: those of other data centres, and those that get no work, are drawn too.
-const DRAWS_MOST: usize = 1_024;
+/// Number of endpoints of a service up to which all are evaluated.
+const MAX_UNSAMPLED_ENDPOINTS: usize = 512;
+/// Number of endpoints in a sample.
+const SAMPLE_SIZE: usize = 64;
+/// Maximum number of random draws for a sample: endpoints of other data centres and those that accept no work
+/// are drawn too, and then skipped.
+const MAX_DRAWS: usize = 1_024;
 
-/// Endpoints of this VM's data centre that a request may go to, drawn at random; none where all are weighed.
+/// Returns a random sample of allowed endpoints in this VM's data centre. It is empty if all endpoints are to
+/// be evaluated.
 pub(crate) fn sample_endpoints(
     table: &FleetTable,
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     now: Moment,
 ) -> Vec<EndpointKey> {
-    let keys = table.keys_of(ask.service);
-    if keys.len() <= ALL_MOST {
+    let keys = table.keys_of(request.service);
+    if keys.len() <= MAX_UNSAMPLED_ENDPOINTS {
         return Vec::new();
     }
-    let draws = (0..DRAWS_MOST).map(|_| keys[((ask.draw)() * keys.len() as f64) as usize % keys.len()]);
-    let near = draws.filter(|key| {
-        table
-            .row(*key)
-            .is_some_and(|row| row.entry.data_centre == ask.data_centre && ask.allows(table, *key, row, now))
+    let draws = (0..MAX_DRAWS).map(|_| keys[((request.draw)() * keys.len() as f64) as usize % keys.len()]);
+    let local = draws.filter(|key| {
+        table.row(*key).is_some_and(|row| {
+            row.entry.data_centre == request.data_centre && request.allows(table, *key, row, now)
+        })
     });
-    near.take(SAMPLE_COUNT).collect()
+    local.take(SAMPLE_SIZE).collect()
 }
--- a/crates/decide/src/admit/held_bytes.rs
+++ b/crates/decide/src/admit/held_bytes.rs
@@ -1,98 +1,99 @@
-//! Bytes that this VM holds for callers and endpoints that take them slowly, or have not sent all.
+//! Limit on the bytes that this VM buffers. They belong to slow callers and endpoints, and to bodies that are
+//! not complete yet.
 //!
-//! Pattern: many callers send long bodies slowly, or take long answers slowly. Each holds little more than is usual, and all
-//! together fill the VM's memory, whose end is the end of every request at this VM.
+//! Many callers send long bodies slowly, or read long answers slowly. Each buffers little more than usual,
+//! but together they can fill the VM's memory, and running out of memory ends every request at this VM.
 //!
-//! Invariant: the bytes held stay within the bound. Where more would pass it, those that hold most end first; a holder that
-//! holds little is not ended for one that holds more.
+//! Invariant: the buffered bytes stay within the limit. When a request for more would exceed it, the largest
+//! reservations are evicted first; a small reservation is never evicted in favour of a larger one.
 
 use std::collections::BTreeMap;
 
-/// One that holds bytes.
+/// Identifier of a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReservationId(u64);
 
-/// What one holder has.
+/// One reservation.
 #[derive(Clone, Copy, Debug, Default)]
-struct HolderRow {
+struct Reservation {
     bytes: u64,
-    /// Whether it may be ended: its work has not begun, or nobody waits for it.
+    /// Whether it may be evicted: its work has not begun, or nobody waits for it.
     is_evictable: bool,
 }
 
-/// All holders.
+/// Reservations of buffered bytes, with their total and limit.
 #[derive(Debug)]
 pub struct HeldBytes {
-    most: u64,
-    total: u64,
-    rows: BTreeMap<ReservationId, HolderRow>,
-    next: u64,
+    limit_bytes: u64,
+    total_bytes: u64,
+    rows: BTreeMap<ReservationId, Reservation>,
+    next_id: u64,
 }
 
 impl HeldBytes {
-    /// No bytes, of `most` that may be held.
-    pub const fn new(most: u64) -> Self {
-        Self { most, total: 0, rows: BTreeMap::new(), next: 0 }
+    /// Creates an empty table that allows `limit` bytes.
+    pub const fn new(limit: u64) -> Self {
+        Self { limit_bytes: limit, total_bytes: 0, rows: BTreeMap::new(), next_id: 0 }
     }
 
-    /// Bytes that are held.
+    /// Returns the total of the buffered bytes.
     pub const fn total(&self) -> u64 {
-        self.total
+        self.total_bytes
     }
 
-    /// A new holder, which may be ended.
+    /// Creates an empty reservation that may be evicted.
     pub fn begin(&mut self) -> ReservationId {
-        let id = ReservationId(self.next);
-        self.next += 1;
-        self.rows.insert(id, HolderRow { bytes: 0, is_evictable: true });
+        let id = ReservationId(self.next_id);
+        self.next_id += 1;
+        self.rows.insert(id, Reservation { bytes: 0, is_evictable: true });
         id
     }
 
-    /// A holder holds `bytes` more; gives those that must end for that, perhaps itself.
+    /// Adds `bytes` to a reservation and returns the reservations evicted for it, possibly itself.
     ///
     /// # Examples
     /// ```
     /// use spanfold_decide::HeldBytes;
     /// let mut held = HeldBytes::new(100);
-    /// let (one, other) = (held.begin(), held.begin());
-    /// assert!(held.grow(one, 70).is_empty());
-    /// assert_eq!(held.grow(other, 40), [one]);
-    /// assert_eq!(held.grow(other, 70), [other]);
+    /// let (first, second) = (held.begin(), held.begin());
+    /// assert!(held.grow(first, 70).is_empty());
+    /// assert_eq!(held.grow(second, 40), [first]);
+    /// assert_eq!(held.grow(second, 70), [second]);
     /// assert_eq!(held.total(), 0);
     /// ```
     pub fn grow(&mut self, id: ReservationId, bytes: u64) -> Vec<ReservationId> {
         let Some(row) = self.rows.get_mut(&id) else { return Vec::new() };
         row.bytes += bytes;
-        self.total += bytes;
-        let mut ended = Vec::new();
-        while self.total > self.most {
-            let largest = self.rows.iter().filter(|(other, row)| row.is_evictable || **other == id);
-            let Some(largest) = largest.max_by_key(|(_, row)| row.bytes).map(|(id, _)| *id) else { break };
+        self.total_bytes += bytes;
+        let mut evicted = Vec::new();
+        while self.total_bytes > self.limit_bytes {
+            let evictable = self.rows.iter().filter(|(candidate, row)| row.is_evictable || **candidate == id);
+            let Some(largest) = evictable.max_by_key(|(_, row)| row.bytes).map(|(id, _)| *id) else { break };
             self.end(largest);
-            ended.push(largest);
+            evicted.push(largest);
         }
-        ended
+        evicted
     }
 
-    /// A holder holds `bytes` less.
+    /// Subtracts `bytes` from a reservation.
     pub fn shrink(&mut self, id: ReservationId, bytes: u64) {
         let Some(row) = self.rows.get_mut(&id) else { return };
         let bytes = bytes.min(row.bytes);
         row.bytes -= bytes;
-        self.total -= bytes;
+        self.total_bytes -= bytes;
     }
 
-    /// A holder is not ended any more, since its work begins.
+    /// Protects a reservation from eviction, since its work begins.
     pub fn settle(&mut self, id: ReservationId) {
         if let Some(row) = self.rows.get_mut(&id) {
             row.is_evictable = false;
         }
     }
 
-    /// A holder holds nothing any more.
+    /// Removes a reservation.
     pub fn end(&mut self, id: ReservationId) {
         if let Some(row) = self.rows.remove(&id) {
-            self.total -= row.bytes;
+            self.total_bytes -= row.bytes;
         }
     }
 }
--- a/crates/decide/src/admit/mod.rs
+++ b/crates/decide/src/admit/mod.rs
@@ -1,4 +1,4 @@
-//! Where a request goes, whether it is refused, and whether it is sent again.
+//! Placement, admission, rate sharing and retries of requests.
 
 mod admission;
 mod blocked_counts;
--- a/crates/decide/src/admit/placement.rs
+++ b/crates/decide/src/admit/placement.rs
@@ -1,12 +1,13 @@
-//! Which endpoint a request goes to.
+//! Placement of requests on endpoints.
 //!
-//! The endpoint with the least expected cost wins: expected time to the first event (prompts that
-//! wait there, parts that must be moved there, the rest that must be read, memory that must come
-//! free first), and on top the price of crossing data centres, of failing answers and of old
-//! weights, all in microseconds. Invariant: an endpoint that leaves, that asked this VM for a rest, that has failed this
-//! request, whose data centre is evacuated or outside the request's homes, or whose weights are overdue is never chosen; one that is ejected only if all are. Each VM
-//! decides by itself on loads that peers told it some milliseconds ago: asking a home VM would cost
-//! more time than its exactness saves.
+//! A request goes to the endpoint with the lowest expected cost, in microseconds. The cost is the expected
+//! time to the first event: prefill of the prompts queued there, transfer of cached segments, prefill of the
+//! remaining tokens, and the wait for memory to be released. Surcharges are added for crossing data centres,
+//! failing answers and old weights. Invariant: an endpoint is never chosen if it is departing, has asked this
+//! VM to back off, has failed this request, is in a data centre that is evacuated or outside the request's
+//! homes, or has overdue weights. An ejected endpoint is chosen only if all are ejected. Each VM decides by
+//! itself on loads that its peers reported some milliseconds ago: querying a VM responsible for the endpoint
+//! would cost more time than its exact data saves.
 
 use crate::admit::endpoint_sample::sample_endpoints;
 use crate::kept::{
@@ -19,78 +20,81 @@
 };
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 
-/// Time in which an engine reads one prompt token, in microseconds, until its pace is learned;
-/// steps included.
-const READ_MICROS: f64 = 21.0;
-/// Time from the request to the first event beside reading, in microseconds.
-const FIRST_MICROS: f64 = 20_000.0;
-/// Time of one answer of a plain service without load, in microseconds.
-const PLAIN_MICROS: f64 = 30_000.0;
-/// Memory that is out is waited for at this multiple of the time to read as much.
-const MEMORY_FACTOR: f64 = 1.5;
-/// Cost of a token beyond the memory that the request may fill, in microseconds: about the time to read one, so that an
-/// engine with room goes before one whose queue is shorter, but not before one that keeps the prompt.
-const OVER_TOKEN_MICROS: f64 = 20.0;
-/// Cost of one request byte that crosses data centres, in microseconds; such bytes are priced.
-const CROSS_BYTE_MICROS: f64 = 3.0;
-/// Cost of any crossing, in microseconds: the round trip.
-const CROSS_MICROS: f64 = 3_000.0;
-/// Cost of a data centre that seems to be cut off, in microseconds: about the time to notice it.
-const SILENT_MICROS: f64 = 600_000.0;
-/// Cost of an endpoint all of whose answers fail, in microseconds.
+/// Time in which an engine prefills one prompt token, in microseconds, steps included. It applies until the
+/// engine's slowdown is measured.
+const PREFILL_MICROS_PER_TOKEN: f64 = 21.0;
+/// Time from the request to the first event without prefill, in microseconds.
+const FIRST_EVENT_MICROS: f64 = 20_000.0;
+/// Time of one answer of an unloaded plain service, in microseconds.
+const PLAIN_ANSWER_MICROS: f64 = 30_000.0;
+/// Expected wait for missing memory, as a multiple of its tokens' prefill time.
+const MEMORY_WAIT_FACTOR: f64 = 1.5;
+/// Cost of a token beyond the memory that the request may fill, in microseconds. It is about the prefill time
+/// of a token, so that an engine with free capacity precedes one with a shorter queue, but not one that has
+/// cached the prompt.
+const EXCESS_TOKEN_MICROS: f64 = 20.0;
+/// Cost of a request byte that crosses data centres, in microseconds: such bytes are priced.
+const CROSSING_BYTE_MICROS: f64 = 3.0;
+/// Cost of any crossing between data centres, in microseconds: the round trip.
+const CROSSING_MICROS: f64 = 3_000.0;
+/// Cost of a data centre that appears unreachable, in microseconds: about the time to detect it.
+const UNREACHABLE_MICROS: f64 = 600_000.0;
+/// Cost of an endpoint whose answers all fail, in microseconds.
 const FAILURE_MICROS: f64 = 600_000.0;
-/// Cost of old weights once a newer version stands, in microseconds: a part of the answer's worth.
+/// Cost of old weights once a newer version is published, in microseconds: a fraction of the answer's value.
 const OLD_WEIGHTS_MICROS: f64 = 200_000.0;
-/// A request may start after this multiple of the expected time.
-const OVERDUE_FACTOR: u64 = 2;
-/// And this much later, in milliseconds, before the weights that it starts on are overdue.
-const OVERDUE_MARGIN_MILLIS: u64 = 700;
-/// Spread of a random addition, in microseconds, so that VMs with the same view do not all agree.
-const SPREAD_MICROS: f64 = 3_000.0;
-/// Tokens generated that a request is expected to hold at most when it names none.
-const UNNAMED_OUTPUT: u32 = 64;
+/// Latest assumed start of a request, as a multiple of the expected time.
+const LATEST_START_FACTOR: u64 = 2;
+/// Margin added to that start, in milliseconds. The sum must precede the moment at which the weights that it
+/// starts on are overdue.
+const LATEST_START_MARGIN_MILLIS: u64 = 700;
+/// Upper bound of a random addition to the cost, in microseconds. It prevents VMs with the same view from all
+/// choosing the same endpoint.
+const MAX_RANDOM_MICROS: f64 = 3_000.0;
+/// Expected maximum of generated tokens for a request that states none.
+const DEFAULT_OUTPUT_TOKENS: u32 = 64;
 
-/// What is to be placed.
+/// A request to be placed.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a str,
-    /// This VM's data centre.
+    /// Data centre of this VM.
     pub data_centre: &'a str,
-    /// Data centres that seem to be cut off.
+    /// Data centres that appear to be cut off.
     pub silent: &'a [&'a str],
-    /// The prompt's parts; empty for plain services.
+    /// Segments of the prompt; empty for plain services.
     pub parts: &'a [PromptSegment],
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens that may be generated.
+    /// Maximum number of generated tokens; zero if the request states none.
     pub output_tokens: u32,
-    /// Latency objective of its route, in milliseconds.
+    /// Latency objective of the route, in milliseconds.
     pub objective_millis: u64,
-    /// Bytes of the request.
+    /// Size of the request in bytes.
     pub bytes: usize,
-    /// The model, if the request names one.
+    /// Model that the request names, if any.
     pub model: Option<&'a str>,
-    /// The versions of its weights that are wanted, if any was named.
+    /// Required versions of the model's weights, if any was published.
     pub wanted: Option<&'a RequiredWeights>,
-    /// Part of an engine's memory that the request may fill up.
+    /// Fraction of an engine's memory that the request may fill.
     pub memory_fraction: f64,
-    /// Regions that the request may be served in.
+    /// Regions in which the request may be served.
     pub homes: HomeRegions<'a>,
-    /// Who may share cached parts: all accounts, or one alone.
+    /// Isolation scope of cached segments: all accounts, or one account.
     pub wall: &'a str,
-    /// Endpoints that this request was sent to already.
+    /// Endpoints to which this request was already sent.
     pub exclude: &'a [EndpointKey],
-    /// Versions of endpoints that it may go to.
+    /// Endpoint versions that the request may use.
     pub versions: &'a VersionSplit,
-    /// What this VM may send to endpoints that take few requests.
+    /// This VM's shares of endpoints that accept few requests.
     pub shares: ShareView<'a>,
-    /// A random number in `0.0..1.0` for each candidate.
+    /// Draws a random number in `0.0..1.0`, once per candidate.
     pub draw: fn() -> f64,
 }
 
 impl PlacementRequest<'_> {
-    /// Whether the request may go to an endpoint, now or when that takes more.
+    /// Whether the request may go to an endpoint, now or when it accepts requests again.
     pub(crate) fn allows(
         &self,
         table: &FleetTable,
@@ -105,279 +109,295 @@
     }
 }
 
-/// What a VM may send to endpoints that take few requests from all VMs together.
+/// A VM's shares of endpoints that accept few requests from all VMs together.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShareView<'a> {
-    /// Its right; none while it may send nothing.
+    /// Right of this VM to send; none while it may send nothing.
     pub right: Option<&'a ShareRight>,
-    /// What the operator allows all VMs together to send to a cold endpoint.
+    /// Rate that the operator allows all VMs together to send to a cold endpoint.
     pub cold: ColdTerms,
-    /// All VMs.
+    /// Number of VMs.
     pub vms: usize,
 }
 
 impl ShareView<'_> {
-    /// Requests in a window that it may send to an endpoint on these terms.
+    /// Returns the requests per window that this VM may send to an endpoint.
     pub(crate) fn part(&self, key: EndpointKey, row: &EndpointRow, terms: &RateTerms) -> u64 {
         self.right.map_or(0, |right| right.part(key, &row.entry.data_centre, terms))
     }
 }
 
-/// Where a request goes.
+/// Endpoint chosen for a request, with its estimates.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlacementChoice {
-    /// The endpoint.
+    /// Key of the endpoint.
     pub key: EndpointKey,
-    /// What is to be counted as in flight there.
+    /// Load to be counted as in flight there.
     pub load: LoadCount,
     /// Expected time to the first event, in microseconds.
     pub expected_micros: u64,
-    /// Tokens by which the engine's memory would be filled beyond the part that the request may fill.
+    /// Tokens by which the engine's memory would exceed the fraction that the request may fill.
     pub excess_tokens: u64,
-    /// Time for which prompts that came before are read, in microseconds.
+    /// Prefill time of the prompts queued there before it, in microseconds.
     pub queue_micros: u64,
-    /// Weights that the engine is believed to have.
+    /// Recorded weight version of the engine.
     pub version: Option<u64>,
-    /// Digest of the text under which parts are shared.
+    /// Salt digest under which the engine shares cached segments.
     pub salt: u64,
-    /// What is kept there, what is moved there, and what is to be saved.
+    /// Segments cached there, transferred there and to be saved.
     pub kept: TransferPlan,
-    /// Endpoints that were weighed.
+    /// Number of endpoints evaluated.
     pub candidates: u32,
 }
 
-/// The text under which an engine shares cached parts: the wall, the model and its version.
+/// Formats the cache salt of an engine: the isolation scope, the model and its version.
 ///
 /// # Examples
 /// ```
 /// assert_eq!(spanfold_decide::salt_text("shared", "m", 2), "shared.m.2");
 /// ```
-pub fn salt_text(wall: &str, model: &str, version: u64) -> String {
-    format!("{wall}.{model}.{version}")
+pub fn salt_text(isolation_scope: &str, model: &str, version: u64) -> String {
+    format!("{isolation_scope}.{model}.{version}")
 }
 
-/// The model and version in a text made by [`salt_text`].
-pub fn salt_version(salt: &str) -> Option<(&str, u64)> {
-    let (rest, version) = salt.rsplit_once('.')?;
-    let (_, model) = rest.rsplit_once('.')?;
+/// Returns the model and version in a text made by [`salt_text`].
+pub fn salt_version(text: &str) -> Option<(&str, u64)> {
+    let (prefix, version) = text.rsplit_once('.')?;
+    let (_, model) = prefix.rsplit_once('.')?;
     Some((model, version.parse().ok()?))
 }
 
-/// Chooses an endpoint; none if no endpoint of the service may get work.
+/// Chooses an endpoint; none if no endpoint of the service may accept work.
 ///
-/// Of many endpoints a sample is weighed; if none of it has room, all are.
-pub fn place(table: &FleetTable, ask: &PlacementRequest<'_>, now: Moment) -> Option<PlacementChoice> {
-    let sample = sample_endpoints(table, ask, now).into_iter().map(|key| (key, table.row(key)));
-    let sample = sample.filter_map(|(key, row)| Some((key, row?))).filter(|(_, row)| is_sound(row, now));
-    let sampled = place_among(table, ask, sample.collect(), now);
+/// Of many endpoints only a sample is evaluated; if none of it has free capacity, all are.
+pub fn place(table: &FleetTable, request: &PlacementRequest<'_>, now: Moment) -> Option<PlacementChoice> {
+    let sample = sample_endpoints(table, request, now).into_iter().map(|key| (key, table.row(key)));
+    let sample = sample.filter_map(|(key, row)| Some((key, row?))).filter(|(_, row)| is_healthy(row, now));
+    let sampled = place_among(table, request, sample.collect(), now);
     let has_capacity = |choice: &PlacementChoice| choice.excess_tokens == 0;
-    sampled.filter(has_capacity).or_else(|| place_among(table, ask, candidates(table, ask, now), now))
+    sampled.filter(has_capacity).or_else(|| place_among(table, request, candidates(table, request, now), now))
 }
 
-/// Chooses one of some endpoints.
+/// Chooses the endpoint with the lowest cost.
 fn place_among(
     table: &FleetTable,
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     endpoints: Vec<(EndpointKey, &EndpointRow)>,
     now: Moment,
 ) -> Option<PlacementChoice> {
     let usable = endpoints.into_iter();
-    let usable = usable.filter(|(key, row)| table.next_share(*key, row, &ask.shares, now) == Some(now));
-    let engine = table.service(ask.service).and_then(|service| service.engine.as_ref());
+    let usable = usable.filter(|(key, row)| table.next_share(*key, row, &request.shares, now) == Some(now));
+    let engine = table.service(request.service).and_then(|service| service.engine.as_ref());
     let memory_tokens = engine.map(|engine| engine.memory_tokens);
-    let mut outlook = PromptOutlook::default();
+    let mut estimates = SharedEstimates::default();
     let mut best: Option<(f64, PlacementChoice)> = None;
-    let mut weighed = 0;
+    let mut evaluated = 0;
     for (key, row) in usable {
-        weighed += 1;
+        evaluated += 1;
         let choice = match memory_tokens {
             Some(tokens) => {
-                let (salt, moves) = outlook.of(row, table, ask, now);
-                let view = EngineView { row, salt, moves, memory_tokens: tokens };
-                engine_choice(key, &view, ask, now)
+                let (salt_digest, transfers) = estimates.find(row, table, request, now);
+                let candidate = EngineCandidate { row, salt_digest, transfers, memory_tokens: tokens };
+                engine_choice(key, &candidate, request, now)
             }
             None => plain_choice(key, row, now),
         };
-        if may_be_overdue(row, &choice, ask, now) {
+        if may_be_overdue(row, &choice, request, now) {
             continue;
         }
-        let rereading = choice.kept.reread_tokens as f64 * RECOMPUTE_MICROS_PER_TOKEN;
+        let recompute_micros = choice.kept.reread_tokens as f64 * RECOMPUTE_MICROS_PER_TOKEN;
         let cost = choice.expected_micros as f64
-            + choice.excess_tokens as f64 * OVER_TOKEN_MICROS
-            + rereading
-            + surcharge(row, ask)
-            + SPREAD_MICROS * (ask.draw)();
-        if best.as_ref().is_none_or(|(least, _)| cost < *least) {
+            + choice.excess_tokens as f64 * EXCESS_TOKEN_MICROS
+            + recompute_micros
+            + surcharge(row, request)
+            + MAX_RANDOM_MICROS * (request.draw)();
+        if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
             best = Some((cost, choice));
         }
     }
     let (_, mut choice) = best?;
-    choice.candidates = weighed;
+    choice.candidates = evaluated;
     if let Some(row) = table.row(choice.key)
         && memory_tokens.is_some()
     {
-        let (_, moves) = outlook.of(row, table, ask, now);
-        let cached_count = row.kept.leading(ask.parts, choice.salt);
-        choice.kept.fetches = plan_fetches(moves, ask.parts, cached_count, move_terms(row, ask));
+        let (_, transfers) = estimates.find(row, table, request, now);
+        let cached_count = row.kept.leading(request.parts, choice.salt);
+        choice.kept.fetches =
+            plan_fetches(transfers, request.parts, cached_count, transfer_terms(row, request));
         if choice.version.is_some() {
-            let place = SaveTarget { data_centre: &row.entry.data_centre, homes: ask.homes };
-            choice.kept.saves = plan_saves(table, place, ask.parts, choice.salt, now);
+            let target = SaveTarget { data_centre: &row.entry.data_centre, homes: request.homes };
+            choice.kept.saves = plan_saves(table, target, request.parts, choice.salt, now);
         }
     }
     Some(choice)
 }
 
-/// The endpoints that a request may go to, now or when they take more: all sound ones, or all if none is.
+/// Returns the endpoints that a request may go to, now or later: all healthy ones, or all allowed ones if
+/// none is healthy.
 pub(crate) fn candidates<'a>(
     table: &'a FleetTable,
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     now: Moment,
 ) -> Vec<(EndpointKey, &'a EndpointRow)> {
-    let allowed = table.rows_of(ask.service).filter(|(key, row)| ask.allows(table, *key, row, now));
+    let allowed = table.rows_of(request.service).filter(|(key, row)| request.allows(table, *key, row, now));
     let mut allowed: Vec<_> = allowed.collect();
-    if allowed.iter().any(|(_, row)| is_sound(row, now)) {
-        allowed.retain(|(_, row)| is_sound(row, now));
+    if allowed.iter().any(|(_, row)| is_healthy(row, now)) {
+        allowed.retain(|(_, row)| is_healthy(row, now));
     }
     allowed
 }
 
-fn is_sound(row: &EndpointRow, now: Moment) -> bool {
+fn is_healthy(row: &EndpointRow, now: Moment) -> bool {
     !row.is_ejected(now) && !row.is_closing(now) && !row.rest.is_backing_off(now)
 }
 
-/// What is the same for many engines, found for the first of them: by weights, what the stores hold, and by weights
-/// and data centre, what its move takes.
+/// Values shared by many engines, computed once per request. Salt digest and store holders are the same for
+/// all engines with the same weights, and transfers for all engines with the same weights and data centre.
 #[derive(Debug, Default)]
-struct PromptOutlook<'a> {
+struct SharedEstimates<'a> {
     holders: Vec<(Option<u64>, u64, SegmentHolders)>,
-    moves: Vec<(Option<u64>, &'a str, SegmentTransfers)>,
+    transfers: Vec<(Option<u64>, &'a str, SegmentTransfers)>,
 }
 
-impl<'a> PromptOutlook<'a> {
-    /// The digest of the text under which an engine shares the prompt's parts, and the moves to it.
-    fn of(
+impl<'a> SharedEstimates<'a> {
+    /// Returns the salt digest of an engine's cached segments, and the transfers to it.
+    fn find(
         &mut self,
         row: &'a EndpointRow,
         table: &FleetTable,
-        ask: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         now: Moment,
     ) -> (u64, &SegmentTransfers) {
-        let version = engine_version(row, ask);
-        let held = self.held(version, table, ask, now);
+        let version = engine_version(row, request);
+        let holders_index = self.find_holders(version, table, request, now);
         let data_centre = row.entry.data_centre.as_str();
-        let known =
-            self.moves.iter().position(|(other, place, _)| *other == version && *place == data_centre);
-        let place = known.unwrap_or_else(|| {
-            let moves = SegmentTransfers::find(table, &self.holders[held].2, ask.parts, data_centre, now);
-            self.moves.push((version, data_centre, moves));
-            self.moves.len() - 1
+        let found = self.transfers.iter().position(|(entry_version, entry_data_centre, _)| {
+            *entry_version == version && *entry_data_centre == data_centre
         });
-        (self.holders[held].1, &self.moves[place].2)
+        let transfers_index = found.unwrap_or_else(|| {
+            let transfers = SegmentTransfers::find(
+                table,
+                &self.holders[holders_index].2,
+                request.parts,
+                data_centre,
+                now,
+            );
+            self.transfers.push((version, data_centre, transfers));
+            self.transfers.len() - 1
+        });
+        (self.holders[holders_index].1, &self.transfers[transfers_index].2)
     }
 
-    fn held(
+    fn find_holders(
         &mut self,
         version: Option<u64>,
         table: &FleetTable,
-        ask: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         now: Moment,
     ) -> usize {
-        let known = self.holders.iter().position(|(other, _, _)| *other == version);
-        known.unwrap_or_else(|| {
-            let text = salt_text(ask.wall, ask.model.unwrap_or(""), version.unwrap_or(0));
-            let salt = short_digest(&text);
-            self.holders.push((version, salt, SegmentHolders::find(table, ask.parts, salt, now)));
+        let found = self.holders.iter().position(|(entry_version, _, _)| *entry_version == version);
+        found.unwrap_or_else(|| {
+            let text = salt_text(request.wall, request.model.unwrap_or(""), version.unwrap_or(0));
+            let salt_digest = short_digest(&text);
+            self.holders.push((
+                version,
+                salt_digest,
+                SegmentHolders::find(table, request.parts, salt_digest, now),
+            ));
             self.holders.len() - 1
         })
     }
 }
 
-/// The weights that an engine is believed to have of the model that is asked for.
-fn engine_version(row: &EndpointRow, ask: &PlacementRequest<'_>) -> Option<u64> {
-    ask.model.and_then(|model| row.entry.weights.get(model).copied())
+/// Returns the recorded weight version of an engine for the requested model.
+fn engine_version(row: &EndpointRow, request: &PlacementRequest<'_>) -> Option<u64> {
+    request.model.and_then(|model| row.entry.weights.get(model).copied())
 }
 
-fn move_terms(row: &EndpointRow, ask: &PlacementRequest<'_>) -> TransferTerms {
+fn transfer_terms(row: &EndpointRow, request: &PlacementRequest<'_>) -> TransferTerms {
     TransferTerms {
-        read_micros: READ_MICROS * row.pace(),
-        objective_micros: (ask.objective_millis * MICROS_PER_MILLI) as f64,
+        read_micros: PREFILL_MICROS_PER_TOKEN * row.pace(),
+        objective_micros: (request.objective_millis * MICROS_PER_MILLI) as f64,
     }
 }
 
-/// Whether the request might start only when the weights that an engine has are overdue.
+/// Whether the request might start only after the engine's weights are overdue.
 fn may_be_overdue(
     row: &EndpointRow,
     choice: &PlacementChoice,
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     now: Moment,
 ) -> bool {
-    let (Some(model), Some(wanted)) = (ask.model, ask.wanted) else { return false };
+    let (Some(model), Some(required)) = (request.model, request.wanted) else { return false };
     let Some(version) = row.entry.weights.get(model) else { return false };
-    let expected = now.after_micros(choice.expected_micros * OVERDUE_FACTOR);
-    let start = expected.after_millis(OVERDUE_MARGIN_MILLIS);
-    start >= wanted.last_start(*version)
+    let expected = now.after_micros(choice.expected_micros * LATEST_START_FACTOR);
+    let start = expected.after_millis(LATEST_START_MARGIN_MILLIS);
+    start >= required.last_start(*version)
 }
 
-fn surcharge(row: &EndpointRow, ask: &PlacementRequest<'_>) -> f64 {
+fn surcharge(row: &EndpointRow, request: &PlacementRequest<'_>) -> f64 {
     let mut cost = FAILURE_MICROS * row.failure_ratio().powi(2);
-    if ask.silent.contains(&row.entry.data_centre.as_str()) {
-        cost += SILENT_MICROS;
+    if request.silent.contains(&row.entry.data_centre.as_str()) {
+        cost += UNREACHABLE_MICROS;
     }
-    if row.entry.data_centre != ask.data_centre {
-        cost += CROSS_MICROS + CROSS_BYTE_MICROS * ask.bytes as f64;
+    if row.entry.data_centre != request.data_centre {
+        cost += CROSSING_MICROS + CROSSING_BYTE_MICROS * request.bytes as f64;
     }
-    if let (Some(model), Some(wanted)) = (ask.model, ask.wanted)
-        && row.entry.weights.get(model).is_some_and(|loaded| *loaded < wanted.newest)
+    if let (Some(model), Some(required)) = (request.model, request.wanted)
+        && row.entry.weights.get(model).is_some_and(|loaded| *loaded < required.newest)
     {
         cost += OLD_WEIGHTS_MICROS;
     }
     cost
 }
 
-/// An engine as one request sees it.
-struct EngineView<'a> {
+/// An engine with the values that decide its cost for one request.
+struct EngineCandidate<'a> {
     row: &'a EndpointRow,
-    salt: u64,
-    moves: &'a SegmentTransfers,
+    salt_digest: u64,
+    transfers: &'a SegmentTransfers,
     memory_tokens: u64,
 }
 
 fn engine_choice(
     key: EndpointKey,
-    view: &EngineView<'_>,
-    ask: &PlacementRequest<'_>,
+    candidate: &EngineCandidate<'_>,
+    request: &PlacementRequest<'_>,
     now: Moment,
 ) -> PlacementChoice {
-    let row = view.row;
+    let row = candidate.row;
     let load = row.load(now);
-    let terms = move_terms(row, ask);
-    let read_micros = terms.read_micros;
-    let cached_count = row.kept.leading(ask.parts, view.salt);
-    let kept = plan_transfers(view.moves, ask.parts, cached_count, terms);
-    let ready_tokens = (kept.kept_tokens + kept.moved_tokens).min(u64::from(ask.prompt_tokens));
-    let unread_tokens = u64::from(ask.prompt_tokens) - ready_tokens;
-    let output = if ask.output_tokens == 0 { UNNAMED_OUTPUT } else { ask.output_tokens };
-    let need = u64::from(ask.prompt_tokens) + u64::from(output);
-    let over_memory = (load.memory_tokens + need).saturating_sub(view.memory_tokens);
-    let room = (view.memory_tokens as f64 * ask.memory_fraction) as u64;
-    let excess_tokens = (load.memory_tokens + need).saturating_sub(room);
-    let queue = load.unread_tokens as f64 * read_micros;
-    let reading = unread_tokens as f64 * read_micros;
-    let memory_wait = over_memory as f64 * read_micros * MEMORY_FACTOR;
-    // Parts move while prompts that came before are read.
-    let expected_micros =
-        (FIRST_MICROS + queue.max(kept.transfer_time_micros) + reading + memory_wait) as u64;
-    let load = LoadCount { running: 1, unread_tokens, memory_tokens: need };
-    let (version, salt) = (engine_version(row, ask), view.salt);
+    let terms = transfer_terms(row, request);
+    let token_micros = terms.read_micros;
+    let cached_count = row.kept.leading(request.parts, candidate.salt_digest);
+    let plan = plan_transfers(candidate.transfers, request.parts, cached_count, terms);
+    let available_tokens = (plan.kept_tokens + plan.moved_tokens).min(u64::from(request.prompt_tokens));
+    let prefill_tokens = u64::from(request.prompt_tokens) - available_tokens;
+    let output_tokens =
+        if request.output_tokens == 0 { DEFAULT_OUTPUT_TOKENS } else { request.output_tokens };
+    let needed_tokens = u64::from(request.prompt_tokens) + u64::from(output_tokens);
+    let missing_tokens = (load.memory_tokens + needed_tokens).saturating_sub(candidate.memory_tokens);
+    let fillable_tokens = (candidate.memory_tokens as f64 * request.memory_fraction) as u64;
+    let excess_tokens = (load.memory_tokens + needed_tokens).saturating_sub(fillable_tokens);
+    let queue_micros = load.unread_tokens as f64 * token_micros;
+    let prefill_micros = prefill_tokens as f64 * token_micros;
+    let memory_wait_micros = missing_tokens as f64 * token_micros * MEMORY_WAIT_FACTOR;
+    // Segments are transferred while prompts queued before are prefilled.
+    let expected_micros = (FIRST_EVENT_MICROS
+        + queue_micros.max(plan.transfer_time_micros)
+        + prefill_micros
+        + memory_wait_micros) as u64;
+    let load = LoadCount { running: 1, unread_tokens: prefill_tokens, memory_tokens: needed_tokens };
+    let (version, salt_digest) = (engine_version(row, request), candidate.salt_digest);
     PlacementChoice {
         key,
         load,
         expected_micros,
         excess_tokens,
-        queue_micros: queue as u64,
+        queue_micros: queue_micros as u64,
         version,
-        salt,
-        kept,
+        salt: salt_digest,
+        kept: plan,
         candidates: 0,
     }
 }
@@ -385,10 +405,10 @@
 fn plain_choice(key: EndpointKey, row: &EndpointRow, now: Moment) -> PlacementChoice {
     let running = row.load(now).running;
     let slots = row.entry.slots.max(1);
-    // Endpoints slow down when they are nearly full, and queue beyond their slots.
+    // Endpoints slow down when they are nearly full, and queue requests beyond their slots.
     let fill = f64::from(running) / f64::from(slots);
-    let queue = f64::from((running + 1).saturating_sub(slots)) / f64::from(slots);
-    let expected_micros = (PLAIN_MICROS * row.pace() * (1.0 + 0.3 * fill + queue)) as u64;
+    let overflow = f64::from((running + 1).saturating_sub(slots)) / f64::from(slots);
+    let expected_micros = (PLAIN_ANSWER_MICROS * row.pace() * (1.0 + 0.3 * fill + overflow)) as u64;
     let load = LoadCount { running: 1, ..LoadCount::default() };
     PlacementChoice { key, load, expected_micros, ..PlacementChoice::default() }
 }
--- a/crates/decide/src/admit/retry_budget.rs
+++ b/crates/decide/src/admit/retry_budget.rs
@@ -1,43 +1,43 @@
-//! This VM's part of the deployment's budget of second sends.
+//! This VM's share of the deployment's retry budget.
 //!
-//! Invariant: within any window, the second sends of all VMs together stay below `ratio` of the
-//! requests plus the slack. No VM asks another: each spends `ratio` of its own requests and an
-//! equal part of the slack, and both keep a reserve for VMs that this one does not know of.
+//! Invariant: within any window, the retries of all VMs together stay below `ratio` of the requests plus the
+//! slack. VMs do not coordinate: each spends `ratio` of its own requests and an equal share of the slack, and
+//! both keep a reserve for VMs that this one has not recorded.
 
 use spanfold_entity::Moment;
 use std::collections::{HashMap, VecDeque};
 
-/// Part of the allowance that is used; the rest covers windows that begin at other moments.
+/// Fraction of the allowance that is used; the remainder covers windows that begin at other moments.
 const USABLE_FRACTION: f64 = 0.8;
 
-/// What the operator allows.
+/// Retry budget that the operator allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetTerms {
-    /// Second sends for each request.
+    /// Retries for each request.
     pub ratio: f64,
-    /// Second sends of all VMs in a window beyond the ratio.
+    /// Retries of all VMs in a window beyond the ratio.
     pub slack: f64,
-    /// The window, in milliseconds.
+    /// Length of the window, in milliseconds.
     pub window_millis: u64,
 }
 
-/// Counts requests and second sends of each service in a sliding window.
+/// Counts the requests and retries of each service in a sliding window.
 #[derive(Debug)]
 pub struct RetryBudget {
     terms: BudgetTerms,
-    services: HashMap<String, ServiceWindow>,
+    windows: HashMap<String, ServiceWindow>,
 }
 
 #[derive(Debug, Default)]
 struct ServiceWindow {
     requests: VecDeque<Moment>,
-    repeats: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
 impl RetryBudget {
-    /// An unspent budget.
+    /// Creates an unspent budget.
     pub fn new(terms: BudgetTerms) -> Self {
-        Self { terms, services: HashMap::new() }
+        Self { terms, windows: HashMap::new() }
     }
 
     /// Counts a request for `service`.
@@ -46,7 +46,7 @@
         window.requests.push_back(now);
     }
 
-    /// Spends one second send for `service`, if the budget holds one, among `vms` VMs.
+    /// Spends one retry for `service`, if this VM's share among `vms` VMs has one left.
     ///
     /// # Examples
     /// ```
@@ -60,20 +60,20 @@
     pub fn try_spend(&mut self, service: &str, vms: usize, now: Moment) -> bool {
         let terms = self.terms;
         let window = self.window(service, now);
-        let own = terms.ratio * window.requests.len() as f64;
-        let allowed = USABLE_FRACTION * (own + terms.slack / vms.max(1) as f64);
-        let spends = (window.repeats.len() + 1) as f64 <= allowed;
-        if spends {
-            window.repeats.push_back(now);
+        let own_allowance = terms.ratio * window.requests.len() as f64;
+        let allowed = USABLE_FRACTION * (own_allowance + terms.slack / vms.max(1) as f64);
+        let is_allowed = (window.retries.len() + 1) as f64 <= allowed;
+        if is_allowed {
+            window.retries.push_back(now);
         }
-        spends
+        is_allowed
     }
 
     fn window(&mut self, service: &str, now: Moment) -> &mut ServiceWindow {
-        let length = self.terms.window_millis;
-        let window = self.services.entry(service.to_owned()).or_default();
-        for times in [&mut window.requests, &mut window.repeats] {
-            while times.front().is_some_and(|first| first.after_millis(length) <= now) {
+        let window_millis = self.terms.window_millis;
+        let window = self.windows.entry(service.to_owned()).or_default();
+        for times in [&mut window.requests, &mut window.retries] {
+            while times.front().is_some_and(|oldest| oldest.after_millis(window_millis) <= now) {
                 times.pop_front();
             }
         }
--- a/crates/decide/src/admit/share_queue.rs
+++ b/crates/decide/src/admit/share_queue.rs
@@ -1,65 +1,71 @@
-//! Who is served of a service whose endpoints all take few requests, who is refused, and when those may return.
+//! Queue for services whose endpoints all accept few requests. It decides who is served, who is refused and
+//! when those may return.
 //!
-//! Pattern: all endpoints of a service name limits, together far below its traffic, or rest. Without an order whoever asks at the
-//! right moment is served, and all others wait until their time is over, or come back together.
+//! All endpoints of a service may report limits that are together far below its traffic, or may be backing
+//! off. Without an order, whichever request polls at the right moment is served, and all others wait until
+//! their time is over, or return together.
 //!
-//! Each VM serves at the rate of its own parts, and all VMs by the same order: the highest rank first, within it the client
-//! account that this VM served least lately, within that the first to come. A request waits only while it can still be in
-//! time, and is refused as soon as those before it leave it no room. The refused may return one after the other, at all VMs
-//! together at the rate at which the endpoints take requests.
+//! Each VM serves at the rate of its own shares, and all VMs use the same order: the highest priority first,
+//! then the client account that this VM has served least recently, then the earliest arrival. A request waits
+//! only while it can still be in time, and is refused as soon as the requests before it leave no capacity for
+//! it. Refused requests return one after the other, over all VMs together at the rate at which
+//! the endpoints accept requests.
 //!
-//! Invariant: nobody who could go now is overtaken, and a request that cannot go now, or has gone elsewhere, keeps back
-//! nobody who can.
+//! Invariant: a request that could go now is not overtaken, and a request that cannot go now, or has gone
+//! elsewhere, delays no request that can.
 
 use crate::EndpointRow;
 use spanfold_entity::{MICROS_PER_MILLI, MICROS_PER_SECOND, Moment};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Part of the objective that a request may wait: what is left is for its answer.
-const WAIT_PART: f64 = 0.5;
-/// What an account was served counts for this long, in milliseconds: several of its requests, at small rates too.
-const SERVED_MILLIS: u64 = 10_000;
-/// A request that has not looked at the endpoints for this long, in milliseconds, does not wait any more: it has found
-/// another one. Those that wait look some ten times as often.
-const LOOKED_MILLIS: u64 = 250;
-/// The refused are told to return after this long at most, in milliseconds: nobody knows what endpoints take then.
-const BACK_MOST_MILLIS: u64 = 60_000;
-/// The shortest time after which the refused may return, in milliseconds.
-const BACK_LEAST_MILLIS: u64 = 100;
-
-/// What decides when a request has its turn.
+/// Fraction of the objective that a request may wait. The remainder is for its answer.
+const MAX_WAIT_FRACTION: f64 = 0.5;
+/// Time for which a served request counts for its account, in milliseconds. It covers several requests of an
+/// account, even at small rates.
+const SERVED_RETENTION_MILLIS: u64 = 10_000;
+/// Time without a poll after which a request no longer counts as waiting, in milliseconds: it has found
+/// another endpoint. Waiting requests poll the endpoints some ten times as often.
+const POLL_TIMEOUT_MILLIS: u64 = 250;
+/// Longest delay after which refused requests may return, in milliseconds: what endpoints accept
+/// later than that is unknown.
+const MAX_RETURN_DELAY_MILLIS: u64 = 60_000;
+/// Shortest delay after which refused requests may return, in milliseconds.
+const MIN_RETURN_DELAY_MILLIS: u64 = 100;
+
+/// Properties of a request that decide its position in the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueueOrder {
-    /// Its number at this VM, in the order of arrival.
+    /// Number of the request at this VM, in the order of arrival.
     pub number: u64,
-    /// Its rank; zero is the most urgent.
+    /// Priority of the request; zero is the most urgent.
     pub rank: u8,
-    /// Its client account; empty if it has none.
+    /// Client account of the request; empty if it has none.
     pub account: String,
-    /// When it arrived.
+    /// Time at which the request arrived.
     pub received: Moment,
-    /// Latency objective of its route, in milliseconds.
+    /// Latency objective of the route, in milliseconds.
     pub objective_millis: u64,
 }
 
-/// What the endpoints of a service take that may serve a request.
+/// Capacity of the endpoints that may serve a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ShareCapacity {
-    /// When this VM may send one of them a request; none if it has no part of any.
+    /// Time at which this VM may send one of them a request; none if it has no share of any.
     pub next_at: Option<Moment>,
-    /// Requests a second that this VM may send them.
+    /// Requests per second that this VM may send them.
     pub own_per_s: f64,
-    /// Requests a second that they take from all VMs together.
+    /// Requests per second that they accept from all VMs together.
     pub all_per_s: f64,
-    /// All VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// When the first of them returns, if all of them rest: nobody is asked back before.
+    /// Time at which the first of them ends its backoff, if all are backing off. No refused request may return
+    /// before it.
     pub backoff_until: Option<Moment>,
 }
 
 impl ShareCapacity {
-    /// Adds an endpoint that rests, or returns from a rest: after it, it is expected to take a request a second for each of
-    /// its slots.
+    /// Adds an endpoint that is backing off or returning from a backoff. Afterwards it is expected to accept
+    /// one request per second for each of its slots.
     pub(crate) fn add_backed_off(&mut self, row: &EndpointRow) {
         let per_s = f64::from(row.entry.slots.max(1));
         self.all_per_s += per_s;
@@ -67,16 +73,16 @@
     }
 }
 
-/// What becomes of a request that no endpoint takes now.
+/// Decision on a request that no endpoint accepts now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShareVerdict {
-    /// It waits, and looks again at this moment at the latest.
+    /// The request waits, and polls again at this moment at the latest.
     Wait(Moment),
-    /// It is refused; it may come back after so many milliseconds.
+    /// The request is refused; it may return after this many milliseconds.
     Refuse(u64),
 }
 
-/// Requests that wait at this VM for endpoints that take few, by service.
+/// Requests waiting at this VM for endpoints that accept few, by service.
 #[derive(Debug, Default)]
 pub struct ShareQueue {
     services: BTreeMap<String, ServiceQueue>,
@@ -84,151 +90,155 @@
 
 #[derive(Debug, Default)]
 struct ServiceQueue {
-    rows: Vec<WaitingRow>,
-    /// What accounts were served lately, oldest first.
+    waiting: Vec<WaitingRequest>,
+    /// Recently served accounts with the time of each request, oldest first.
     served: VecDeque<(Moment, String)>,
-    /// How often each account stands there.
-    counts: BTreeMap<String, usize>,
-    /// When the last one of those that were refused may return.
-    returns_until: Moment,
+    /// Number of entries of each account in `served`.
+    served_counts: BTreeMap<String, usize>,
+    /// Time at which the last of the refused requests may return.
+    last_return_at: Moment,
 }
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Debug)]
-struct WaitingRow {
-    order: QueueOrder,
-    /// When an endpoint takes it, as far as it saw.
+struct WaitingRequest {
+    entry: QueueOrder,
+    /// Time at which an endpoint accepts it, by its latest poll.
     next_at: Moment,
-    /// When it looked last.
-    looked_at: Moment,
+    /// Time of its latest poll.
+    polled_at: Moment,
 }
 
-/// What requests are compared by: the lower goes first.
-type TurnKey = (u8, usize, Moment, u64);
+/// Sort key of a request: priority, served count, arrival, number. The lowest key goes first.
+type QueueKey = (u8, usize, Moment, u64);
 
 impl ServiceQueue {
-    fn key(&self, order: &QueueOrder) -> TurnKey {
-        let served = self.counts.get(&order.account).copied().unwrap_or_default();
-        (order.rank, served, order.received, order.number)
+    fn sort_key(&self, entry: &QueueOrder) -> QueueKey {
+        let served = self.served_counts.get(&entry.account).copied().unwrap_or_default();
+        (entry.rank, served, entry.received, entry.number)
     }
 
-    /// Others that wait at `now`, go before `order`, and may go at `at`.
-    fn ahead(&self, order: &QueueOrder, at: Moment, now: Moment) -> usize {
-        let own = self.key(order);
-        let others = self.rows.iter().filter(|row| row.order.number != order.number);
-        let others =
-            others.filter(|row| row.next_at <= at && now < row.looked_at.after_millis(LOOKED_MILLIS));
-        others.filter(|row| self.key(&row.order) < own).count()
+    /// Counts the other requests waiting at `now` that precede `entry` and may go at `start_at`.
+    fn count_ahead(&self, entry: &QueueOrder, start_at: Moment, now: Moment) -> usize {
+        let own_key = self.sort_key(entry);
+        let others = self.waiting.iter().filter(|row| row.entry.number != entry.number);
+        let others = others
+            .filter(|row| row.next_at <= start_at && now < row.polled_at.after_millis(POLL_TIMEOUT_MILLIS));
+        others.filter(|row| self.sort_key(&row.entry) < own_key).count()
     }
 
-    /// Forgets what was served too long ago.
-    fn forget_served(&mut self, now: Moment) {
-        while self.served.front().is_some_and(|(at, _)| now >= at.after_millis(SERVED_MILLIS)) {
+    /// Discards served requests that no longer count.
+    fn discard_served(&mut self, now: Moment) {
+        while self
+            .served
+            .front()
+            .is_some_and(|(served_at, _)| now >= served_at.after_millis(SERVED_RETENTION_MILLIS))
+        {
             let Some((_, account)) = self.served.pop_front() else { return };
-            match self.counts.get_mut(&account) {
+            match self.served_counts.get_mut(&account) {
                 Some(count) if *count > 1 => *count -= 1,
-                _ => drop(self.counts.remove(&account)),
+                _ => drop(self.served_counts.remove(&account)),
             }
         }
     }
 
-    fn leave(&mut self, number: u64) {
-        self.rows.retain(|row| row.order.number != number);
+    fn remove(&mut self, number: u64) {
+        self.waiting.retain(|row| row.entry.number != number);
     }
 
-    /// When one more of the refused may return, in milliseconds from now.
-    fn return_delay_millis(&mut self, outlook: &ShareCapacity, now: Moment) -> u64 {
-        // The refused return to any VM: each tells its part of the times that there are for all.
-        let per_s = outlook.all_per_s / outlook.vms.max(1) as f64;
-        let pause_micros = (MICROS_PER_SECOND as f64 / per_s.max(f64::MIN_POSITIVE)) as u64;
-        let from = outlook.backoff_until.unwrap_or(now).max(now);
-        let most = from.after_millis(BACK_MOST_MILLIS);
-        let back_at = self.returns_until.max(from).after_micros(pause_micros).min(most);
-        self.returns_until = back_at;
-        (back_at.micros_since(now) / MICROS_PER_MILLI).max(BACK_LEAST_MILLIS)
+    /// Returns the delay after which one more refused request may return, in milliseconds.
+    fn return_delay_millis(&mut self, capacity: &ShareCapacity, now: Moment) -> u64 {
+        // Refused requests may return to any VM, so each VM hands out its share of the return times.
+        let per_s = capacity.all_per_s / capacity.vms.max(1) as f64;
+        let interval_micros = (MICROS_PER_SECOND as f64 / per_s.max(f64::MIN_POSITIVE)) as u64;
+        let earliest_at = capacity.backoff_until.unwrap_or(now).max(now);
+        let max_return_at = earliest_at.after_millis(MAX_RETURN_DELAY_MILLIS);
+        let return_at = self.last_return_at.max(earliest_at).after_micros(interval_micros).min(max_return_at);
+        self.last_return_at = return_at;
+        (return_at.micros_since(now) / MICROS_PER_MILLI).max(MIN_RETURN_DELAY_MILLIS)
     }
 }
 
 impl ShareQueue {
-    /// Whether a request that an endpoint takes now may go, or others that wait go before it.
-    pub fn is_next_in_queue(&self, service: &str, order: &QueueOrder, now: Moment) -> bool {
-        self.services.get(service).is_none_or(|queue| queue.ahead(order, now, now) == 0)
+    /// Whether no waiting request precedes this one, which an endpoint accepts now.
+    pub fn is_next_in_queue(&self, service: &str, entry: &QueueOrder, now: Moment) -> bool {
+        self.services.get(service).is_none_or(|queue| queue.count_ahead(entry, now, now) == 0)
     }
 
-    /// Decides on a request that no endpoint takes now, or that others go before.
+    /// Decides on a request that no endpoint accepts now, or that other requests precede.
     ///
     /// # Examples
     /// ```
-    /// use spanfold_decide::{QueueOrder, ShareOutlook, ShareQueue, ShareVerdict};
+    /// use spanfold_decide::{QueueOrder, ShareCapacity, ShareQueue, ShareVerdict};
     /// use spanfold_entity::Moment;
-    /// let order = QueueOrder {
+    /// let entry = QueueOrder {
     ///     number: 1, rank: 0, account: String::new(), received: Moment(0), objective_millis: 300,
     /// };
-    /// let outlook = ShareOutlook {
-    ///     next_at: Some(Moment(90_000)), own_per_s: 2.0, all_per_s: 4.0, vms: 2, rest_until: None,
+    /// let capacity = ShareCapacity {
+    ///     next_at: Some(Moment(90_000)), own_per_s: 2.0, all_per_s: 4.0, vms: 2, backoff_until: None,
     /// };
     /// let mut queue = ShareQueue::default();
-    /// assert_eq!(queue.admit("s", &order, &outlook, Moment(0)), ShareVerdict::Wait(Moment(90_000)));
-    /// let late = ShareOutlook { next_at: Some(Moment(900_000)), ..outlook };
-    /// assert_eq!(queue.admit("s", &order, &late, Moment(0)), ShareVerdict::Refuse(500));
+    /// assert_eq!(queue.admit("s", &entry, &capacity, Moment(0)), ShareVerdict::Wait(Moment(90_000)));
+    /// let late = ShareCapacity { next_at: Some(Moment(900_000)), ..capacity };
+    /// assert_eq!(queue.admit("s", &entry, &late, Moment(0)), ShareVerdict::Refuse(500));
     /// ```
     pub fn admit(
         &mut self,
         service: &str,
-        order: &QueueOrder,
-        outlook: &ShareCapacity,
+        entry: &QueueOrder,
+        capacity: &ShareCapacity,
         now: Moment,
     ) -> ShareVerdict {
         let queue = self.services.entry(service.to_owned()).or_default();
-        let wait_until =
-            order.received.after_micros((order.objective_millis as f64 * 1_000.0 * WAIT_PART) as u64);
-        let turn_at = outlook.next_at.map(|next_at| {
-            let ahead = queue.ahead(order, next_at.max(now), now);
+        let wait_deadline =
+            entry.received.after_micros((entry.objective_millis as f64 * 1_000.0 * MAX_WAIT_FRACTION) as u64);
+        let expected_at = capacity.next_at.map(|next_at| {
+            let requests_ahead = queue.count_ahead(entry, next_at.max(now), now);
             next_at
                 .max(now)
-                .after_micros((ahead as f64 / outlook.own_per_s * MICROS_PER_SECOND as f64) as u64)
+                .after_micros((requests_ahead as f64 / capacity.own_per_s * MICROS_PER_SECOND as f64) as u64)
         });
-        queue.leave(order.number);
-        match (turn_at, outlook.next_at) {
-            (Some(turn_at), Some(next_at)) if turn_at <= wait_until => {
-                queue.rows.push(WaitingRow { order: order.clone(), next_at, looked_at: now });
-                ShareVerdict::Wait(turn_at.max(now))
+        queue.remove(entry.number);
+        match (expected_at, capacity.next_at) {
+            (Some(expected_at), Some(next_at)) if expected_at <= wait_deadline => {
+                queue.waiting.push(WaitingRequest { entry: entry.clone(), next_at, polled_at: now });
+                ShareVerdict::Wait(expected_at.max(now))
             }
-            _ => ShareVerdict::Refuse(queue.return_delay_millis(outlook, now)),
+            _ => ShareVerdict::Refuse(queue.return_delay_millis(capacity, now)),
         }
     }
 
-    /// When a request that is refused because all endpoints rest may return, in milliseconds from now.
-    pub fn refuse(&mut self, service: &str, outlook: &ShareCapacity, now: Moment) -> u64 {
-        self.services.entry(service.to_owned()).or_default().return_delay_millis(outlook, now)
+    /// Returns the return delay of a refused request, in milliseconds, while all endpoints are backing off.
+    pub fn refuse(&mut self, service: &str, capacity: &ShareCapacity, now: Moment) -> u64 {
+        self.services.entry(service.to_owned()).or_default().return_delay_millis(capacity, now)
     }
 
-    /// Notes that a request goes to an endpoint that takes few.
-    pub fn record_served(&mut self, service: &str, order: &QueueOrder, now: Moment) {
+    /// Records that a request goes to an endpoint that accepts few.
+    pub fn record_served(&mut self, service: &str, entry: &QueueOrder, now: Moment) {
         let queue = self.services.entry(service.to_owned()).or_default();
-        queue.leave(order.number);
-        queue.forget_served(now);
-        *queue.counts.entry(order.account.clone()).or_default() += 1;
-        queue.served.push_back((now, order.account.clone()));
+        queue.remove(entry.number);
+        queue.discard_served(now);
+        *queue.served_counts.entry(entry.account.clone()).or_default() += 1;
+        queue.served.push_back((now, entry.account.clone()));
     }
 
-    /// Notes that a request does not wait any more.
+    /// Removes a request that no longer waits.
     pub fn leave(&mut self, service: &str, number: u64) {
         if let Some(queue) = self.services.get_mut(service) {
-            queue.leave(number);
+            queue.remove(number);
         }
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
-        self.services.values().map(|queue| queue.rows.len()).sum()
+        self.services.values().map(|queue| queue.waiting.len()).sum()
     }
 
-    /// Forgets services where nobody waits and nothing was served or refused lately.
+    /// Discards services without waiting requests, recently served requests or pending returns.
     pub fn sweep(&mut self, now: Moment) {
         self.services.retain(|_, queue| {
-            queue.forget_served(now);
-            !queue.rows.is_empty() || !queue.served.is_empty() || now < queue.returns_until
+            queue.discard_served(now);
+            !queue.waiting.is_empty() || !queue.served.is_empty() || now < queue.last_return_at
         });
     }
 }
--- a/crates/decide/src/admit/shared_rate.rs
+++ b/crates/decide/src/admit/shared_rate.rs
@@ -1,82 +1,89 @@
-//! How many requests each VM may send to an endpoint that takes few from all VMs together.
+//! Shares of a rate limit that holds for all VMs together.
 //!
-//! Pattern: an endpoint is cold, or names a limit in its answers. It looks idle, so all VMs send to it together, and
-//! it falls over, or gets more than it takes. The limit binds the sum over all VMs, also of those that cannot hear one
-//! another, and no request has the time for a question to another VM.
+//! An endpoint that is cold, or reports a limit in its answers, looks idle. All VMs would send to it
+//! together, and it would fail or get more requests than it accepts. The limit bounds the sum over all VMs,
+//! including VMs that cannot reach one another, and no request has the time to query another VM.
 //!
-//! Of the VMs of the endpoint's data centre as many send to it as the limit has requests for in its window, each its part;
-//! where no VM stands there, those of all data centres do. Who they are follows from the VMs' names and the endpoint's key
-//! (rendezvous hashing), so that VMs with the same list agree without a message. Not chosen: an equal part for each VM, since
-//! with 295 VMs one request each is a hundred times a small limit; one VM alone, since few of its requests suit the endpoint.
+//! The senders are VMs of the endpoint's data centre, or of all data centres if it has no VM there. There are
+//! at most as many senders as the limit allows requests in its window, and each gets a share. The senders
+//! follow from the VMs' names and the endpoint's key (rendezvous hashing), so that VMs with the same list
+//! agree without a message. An equal share for each VM was rejected: with 295 VMs, one request each is a
+//! hundred times a small limit. A single sender was rejected because few of its requests suit the endpoint.
 //!
-//! Invariant: all VMs together send at most [`RateTerms::count`] in any [`RateTerms::window_millis`] while their lists agree.
-//! Where they cannot, nobody takes what another may still use: a VM that has left the list keeps its part for
-//! [`PART_KEPT_MILLIS`], in which it may be cut off and go on; the others take it over after that. A new VM has no part
-//! until the others have heard of it.
+//! Invariant: all VMs together send at most [`RateTerms::count`] requests in any [`RateTerms::window_millis`]
+//! while their lists agree. Where their lists cannot agree, no VM takes over a share that another may still
+//! use. A VM removed from the list keeps its share for [`SHARE_RETENTION_MILLIS`], since it may be cut off
+//! from the store and still sending; the others take the share over after that. A new VM has no share until
+//! the others have recorded its entry.
 
 use crate::{ColdSpec, EndpointKey, VmKey};
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 use std::collections::{BTreeSet, VecDeque};
 
-/// VMs that send to one cold endpoint: a VM whose list is wrong adds one of so few parts.
-const COLD_SENDERS_MOST: usize = 5;
-/// Part of what the operator allows to a cold endpoint that is used: one more set of senders would not pass it.
-const COLD_USED_PART: f64 = 0.5;
-/// Windows are this much longer than they must be, in milliseconds: requests take different times on their way.
-const WAY_MILLIS: u64 = 50;
+/// Maximum number of VMs that send to one cold endpoint. A VM with a wrong list adds one of this many shares.
+const MAX_COLD_SENDERS: usize = 5;
+/// Fraction of the operator's allowance for a cold endpoint that is used: one more set of senders would not
+/// exceed the allowance.
+const COLD_USABLE_FRACTION: f64 = 0.5;
+/// Extension of each window beyond its computed length, in milliseconds: requests differ in transit time.
+const TRANSIT_MARGIN_MILLIS: u64 = 50;
 /// Milliseconds in a second, as a factor of rates.
 const MILLIS_PER_SECOND: f64 = 1_000.0;
-/// An endpoint that names a lower limit, or zero, gets this many requests a second all the same: one that gets nothing says
-/// nothing, and nobody would learn that its limit has ended.
+/// Minimum rate at a limited endpoint, in requests per second, even if it reports less or zero. An endpoint
+/// that gets no requests returns no reports, so the end of its limit would go unnoticed.
 pub(crate) const MIN_REQUESTS_PER_S: f64 = 1.0 / 60.0;
 
-/// After this long, in milliseconds, all VMs in touch know of a new entry: changes of the store reach them within 2 s.
-const LISTED_MILLIS: u64 = 3_000;
-/// A list counts as fresh for this long after the store told that it stands, in milliseconds; less than [`LISTED_MILLIS`], so
-/// that a new VM begins only when those that go by a list without it have stopped.
-const NEWS_MILLIS: u64 = 2_500;
-/// A VM that has left the list, or has no news of it, keeps its part for this long, in milliseconds: longer than most outages
-/// of the store, so that endpoints with a limit are not out of use meanwhile.
+/// Time after which all reachable VMs have recorded a new entry, in milliseconds. Store changes reach them
+/// within 2 s.
+const PROPAGATION_DELAY_MILLIS: u64 = 3_000;
+/// Time for which a list counts as current after the store confirmed it, in milliseconds. It is less than
+/// [`PROPAGATION_DELAY_MILLIS`], so that a new VM begins only when VMs that use a list without it have
+/// stopped.
+const LIST_FRESHNESS_MILLIS: u64 = 2_500;
+/// Time for which a VM keeps its share without list confirmation, in milliseconds. The same applies after its
+/// removal from the list. It exceeds most outages of the store, so that endpoints with a limit stay in use
+/// meanwhile.
 pub(crate) const SHARE_RETENTION_MILLIS: u64 = 20_000;
 
-/// What the operator allows all VMs together to send to a cold endpoint in a second.
+/// Rate that the operator allows all VMs together to send to a cold endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdTerms {
-    /// Multiple of what it bears.
+    /// Allowed multiple of the rate that the endpoint sustains.
     pub overrun: f64,
-    /// Requests beyond that.
+    /// Requests per second allowed beyond that.
     pub slack: f64,
 }
 
-/// What all VMs together may send to one endpoint.
+/// Rate limit for all VMs together at one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateTerms {
-    /// Requests in any span of the window's length.
+    /// Requests in any window.
     pub count: u64,
     /// Length of the window, in milliseconds.
     pub window_millis: u64,
-    /// VMs that send to it at most.
-    pub senders_most: usize,
-    /// Whether only VMs send to it that are sure to stand in a list that is not old: an endpoint that falls over at more than
-    /// it bears, and bears little for some seconds only, gets less in trouble rather than more.
-    pub needs_fresh_list: bool,
+    /// Maximum number of VMs that send to the endpoint.
+    pub max_senders: usize,
+    /// Whether only listed VMs with a current list may send to the endpoint. It is set where an endpoint
+    /// fails above a small rate and sustains little for only some seconds: during a fault it gets fewer
+    /// requests rather than more.
+    pub needs_current_list: bool,
 }
 
 impl RateTerms {
-    /// The terms of an endpoint that is cold.
+    /// Returns the terms of a cold endpoint.
     pub fn of_cold(spec: ColdSpec, terms: ColdTerms) -> Self {
-        let allowed = (spec.per_s * terms.overrun + terms.slack) * COLD_USED_PART;
+        let allowed = (spec.per_s * terms.overrun + terms.slack) * COLD_USABLE_FRACTION;
         Self {
             count: spec.per_s.min(allowed) as u64,
-            window_millis: MILLIS_PER_SECOND as u64 + WAY_MILLIS,
-            senders_most: COLD_SENDERS_MOST,
-            needs_fresh_list: true,
+            window_millis: MILLIS_PER_SECOND as u64 + TRANSIT_MARGIN_MILLIS,
+            max_senders: MAX_COLD_SENDERS,
+            needs_current_list: true,
         }
     }
 
-    /// The terms of an endpoint that takes `per_s` requests a second.
+    /// Returns the terms of an endpoint that accepts `per_s` requests per second.
     ///
-    /// Windows hold a whole number of requests and last a second at most, or the time of one request.
+    /// A window holds a whole number of requests and lasts at most a second, or the time of one request.
     ///
     /// # Examples
     /// ```
@@ -91,13 +98,13 @@
         let count = per_s.floor().max(1.0);
         Self {
             count: count as u64,
-            window_millis: (count / per_s * MILLIS_PER_SECOND).ceil() as u64 + WAY_MILLIS,
-            senders_most: usize::MAX,
-            needs_fresh_list: false,
+            window_millis: (count / per_s * MILLIS_PER_SECOND).ceil() as u64 + TRANSIT_MARGIN_MILLIS,
+            max_senders: usize::MAX,
+            needs_current_list: false,
         }
     }
 
-    /// The terms of a number of requests that all VMs together may send once.
+    /// Returns the terms of `count` requests that all VMs together may send once.
     ///
     /// # Examples
     /// ```
@@ -105,97 +112,105 @@
     /// assert_eq!(RateTerms::of_count(20).count, 20);
     /// ```
     pub const fn of_count(count: u64) -> Self {
-        Self { count, window_millis: u64::MAX, senders_most: usize::MAX, needs_fresh_list: false }
+        Self { count, window_millis: u64::MAX, max_senders: usize::MAX, needs_current_list: false }
     }
 
-    /// Requests a second that a part of the window's count comes to.
-    pub fn per_s(&self, part: u64) -> f64 {
-        part as f64 * MILLIS_PER_SECOND / self.window_millis as f64
+    /// Returns the rate of a share of the window's count, in requests per second.
+    pub fn per_s(&self, share: u64) -> f64 {
+        share as f64 * MILLIS_PER_SECOND / self.window_millis as f64
     }
 }
 
-/// Whether the other VMs count this one among those that send, and whether it knows of them.
+/// Membership of this VM in the VM list, and the age of its own list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListMembership {
-    /// Since when they count it, without a break; none before it was listed.
+    /// Start of this VM's unbroken membership in the other VMs' lists; none before it is listed.
     member_since: Option<Moment>,
-    /// Until when they do so for sure.
-    member_until: Moment,
-    /// Until when this VM's own lease stands for sure.
-    lease_until: Moment,
-    /// When the store last told, directly or through another VM, that the list stands.
+    /// End of the time for which the other VMs certainly keep this VM's share.
+    membership_deadline: Moment,
+    /// Time until which this VM's own lease is certainly valid.
+    lease_deadline: Moment,
+    /// Time of the store's latest confirmation of the list, received directly or through another VM.
     confirmed_at: Moment,
-    /// Since when it has had such news, so that those who left meanwhile are known; none before the first.
-    news_since: Option<Moment>,
+    /// Start of the unbroken series of confirmations, in which removals were recorded too; none before the
+    /// first.
+    confirmed_since: Option<Moment>,
 }
 
 impl ListMembership {
-    /// Notes that this VM's entry stands in the store at `now`, until `lease_until` at least.
+    /// Records that the store lists this VM at `now`, until at least `lease_deadline`.
     ///
     /// # Examples
     /// ```
-    /// use spanfold_decide::ListStanding;
+    /// use spanfold_decide::ListMembership;
     /// use spanfold_entity::Moment;
     /// let at = |seconds: u64| Moment(seconds * 1_000_000);
-    /// let mut standing = ListStanding::default();
-    /// standing.list_until(at(9), at(0));
-    /// standing.hear_news(at(1));
-    /// assert!(!standing.holds(at(5)));
-    /// standing.hear_news(at(4));
-    /// assert!(standing.holds(at(5)) && standing.holds(at(20)) && !standing.holds(at(25)));
-    /// assert!(standing.is_fresh(at(5)) && !standing.is_fresh(at(8)));
+    /// let mut membership = ListMembership::default();
+    /// membership.list_until(at(9), at(0));
+    /// membership.record_list_confirmation(at(1));
+    /// assert!(!membership.holds(at(5)));
+    /// membership.record_list_confirmation(at(4));
+    /// assert!(membership.holds(at(5)) && membership.holds(at(20)) && !membership.holds(at(25)));
+    /// assert!(membership.is_fresh(at(5)) && !membership.is_fresh(at(8)));
     /// ```
-    pub fn list_until(&mut self, lease_until: Moment, now: Moment) {
-        if self.member_since.is_none() || now >= self.member_until {
+    pub fn list_until(&mut self, lease_deadline: Moment, now: Moment) {
+        if self.member_since.is_none() || now >= self.membership_deadline {
             self.member_since = Some(now);
         }
-        self.lease_until = lease_until;
-        self.member_until = self.member_until.max(lease_until.after_millis(SHARE_RETENTION_MILLIS));
+        self.lease_deadline = lease_deadline;
+        self.membership_deadline =
+            self.membership_deadline.max(lease_deadline.after_millis(SHARE_RETENTION_MILLIS));
     }
 
-    /// Notes that the store told at `news_at` that the list stands as this VM knows it.
+    /// Records that the store confirmed this VM's list at `confirmed_at`.
     pub fn record_list_confirmation(&mut self, confirmed_at: Moment) {
-        if self.news_since.is_none() || confirmed_at >= self.confirmed_at.after_millis(SHARE_RETENTION_MILLIS)
+        if self.confirmed_since.is_none()
+            || confirmed_at >= self.confirmed_at.after_millis(SHARE_RETENTION_MILLIS)
         {
-            self.news_since = Some(confirmed_at);
+            self.confirmed_since = Some(confirmed_at);
         }
         self.confirmed_at = self.confirmed_at.max(confirmed_at);
     }
 
-    /// Whether this VM may use its part: the others have heard of it, and it of those that came, or came back, with it.
+    /// Whether this VM may use its share. The other VMs have then recorded its entry, and it has recorded
+    /// those of VMs that joined or returned at the same time.
     pub fn holds(&self, now: Moment) -> bool {
-        let is_settled = |since: Option<Moment>| {
-            since.is_some_and(|since| self.confirmed_at >= since.after_millis(LISTED_MILLIS))
+        let is_propagated = |since: Option<Moment>| {
+            since.is_some_and(|since| self.confirmed_at >= since.after_millis(PROPAGATION_DELAY_MILLIS))
         };
-        let is_known = is_settled(self.member_since) && is_settled(self.news_since);
-        is_known && now < self.member_until && now < self.confirmed_at.after_millis(SHARE_RETENTION_MILLIS)
+        let is_recorded = is_propagated(self.member_since) && is_propagated(self.confirmed_since);
+        is_recorded
+            && now < self.membership_deadline
+            && now < self.confirmed_at.after_millis(SHARE_RETENTION_MILLIS)
     }
 
-    /// Whether besides it stands in the list, and the list is not old.
+    /// Whether this VM may use its share, is listed, and has a current list.
     pub fn is_fresh(&self, now: Moment) -> bool {
-        self.holds(now) && now < self.lease_until && now < self.confirmed_at.after_millis(NEWS_MILLIS)
+        self.holds(now)
+            && now < self.lease_deadline
+            && now < self.confirmed_at.after_millis(LIST_FRESHNESS_MILLIS)
     }
 }
 
-/// A VM's right to send to endpoints that take few requests from all VMs together.
+/// A VM's right to send to endpoints that accept few requests from all VMs together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShareRight {
-    /// This VM.
+    /// Key of this VM.
     pub own: VmKey,
-    /// Its data centre.
+    /// Data centre of this VM.
     pub data_centre: String,
-    /// Whether the list that it knows is fresh, and it stands there.
+    /// Whether this VM is listed and its list is current.
     pub is_fresh: bool,
-    /// The other VMs of its data centre that may use their parts.
+    /// The other VMs of its data centre that may use their shares.
     pub near: Vec<VmKey>,
-    /// All other VMs that may.
+    /// All other VMs that may use their shares.
     pub all: Vec<VmKey>,
-    /// The other data centres where such VMs stand.
+    /// The other data centres that have such VMs.
     pub remote_data_centres: BTreeSet<String>,
 }
 
 impl ShareRight {
-    /// Requests in a window that this VM may send to an endpoint of `data_centre`.
+    /// Returns the requests per window that this VM may send to an endpoint of `data_centre`.
     ///
     /// # Examples
     /// ```
@@ -205,37 +220,37 @@
     /// assert_eq!(alone.part(EndpointKey::of("i-1"), "dc-a", &terms), 4);
     /// ```
     pub fn part(&self, endpoint: EndpointKey, data_centre: &str, terms: &RateTerms) -> u64 {
-        if terms.needs_fresh_list && !self.is_fresh {
+        if terms.needs_current_list && !self.is_fresh {
             return 0;
         }
-        self.senders(data_centre).map_or(0, |others| self.part_among(others, endpoint, terms))
+        self.senders(data_centre).map_or(0, |others| self.share_among(others, endpoint, terms))
     }
 
-    fn part_among(&self, others: &[VmKey], endpoint: EndpointKey, terms: &RateTerms) -> u64 {
+    fn share_among(&self, others: &[VmKey], endpoint: EndpointKey, terms: &RateTerms) -> u64 {
         let count = usize::try_from(terms.count).unwrap_or(usize::MAX);
-        let senders = terms.senders_most.min(others.len() + 1).min(count);
-        let own = rendezvous(self.own, endpoint);
-        let place = others.iter().filter(|vm| rendezvous(**vm, endpoint) < own).take(senders).count();
-        if place >= senders {
+        let senders = terms.max_senders.min(others.len() + 1).min(count);
+        let own_hash = rendezvous(self.own, endpoint);
+        let position = others.iter().filter(|vm| rendezvous(**vm, endpoint) < own_hash).take(senders).count();
+        if position >= senders {
             return 0;
         }
-        let rest = count % senders;
-        (count / senders + usize::from(place < rest)) as u64
+        let remainder = count % senders;
+        (count / senders + usize::from(position < remainder)) as u64
     }
 
-    /// Requests that this VM may send of those that all VMs of all data centres share on these terms.
+    /// Returns this VM's share of a count for the VMs of all data centres.
     ///
     /// # Examples
     /// ```
     /// use spanfold_decide::{EndpointKey, RateTerms, ShareRight, VmKey};
     /// let alone = ShareRight::alone(VmKey::of("vm-1"), "dc-a");
-    /// assert_eq!(alone.part_of_all(EndpointKey::of("a"), &RateTerms::of_count(20)), 20);
+    /// assert_eq!(alone.share_of_total(EndpointKey::of("a"), &RateTerms::of_count(20)), 20);
     /// ```
     pub fn share_of_total(&self, key: EndpointKey, terms: &RateTerms) -> u64 {
-        self.part_among(&self.all, key, terms)
+        self.share_among(&self.all, key, terms)
     }
 
-    /// The right of a VM that knows of no other, with a fresh list.
+    /// Returns the right of a VM that has a current list without other VMs.
     pub fn alone(own: VmKey, data_centre: &str) -> Self {
         Self {
             own,
@@ -247,7 +262,7 @@
         }
     }
 
-    /// The other VMs among which the parts of an endpoint of `data_centre` are dealt; none if this VM has none there.
+    /// Returns the other VMs that share an endpoint of `data_centre`; none if this VM has no share there.
     fn senders(&self, data_centre: &str) -> Option<&[VmKey]> {
         if data_centre == self.data_centre {
             Some(&self.near)
@@ -259,34 +274,36 @@
     }
 }
 
-/// Order of the VMs that may send to an endpoint: the same on all VMs, and another one for each endpoint.
+/// Returns the sort key of a VM among the senders to an endpoint. It is the same on all VMs and differs
+/// between endpoints.
 const fn rendezvous(vm: VmKey, endpoint: EndpointKey) -> u64 {
-    // The finalizer of SplitMix64: each bit of both keys bears on each bit of the result.
+    // The finalizer of SplitMix64: each bit of both keys affects each bit of the result.
     let mut mixed = vm.0 ^ endpoint.0.rotate_left(32);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ (mixed >> 31)
 }
 
-/// What a VM has sent to one endpoint while that took few requests, oldest first.
+/// Times of a VM's recent sends to one endpoint that accepts few requests, oldest first.
 #[derive(Debug, Default)]
 pub struct RecentSends(VecDeque<Moment>);
 
 impl RecentSends {
-    /// When one more may be sent, if a VM may send `part` in a window; none if it may send nothing.
-    pub fn next_at(&self, part: u64, window_millis: u64, now: Moment) -> Option<Moment> {
-        let part = usize::try_from(part).unwrap_or(usize::MAX);
-        if part == 0 {
+    /// Returns the time from which one more request may be sent. The VM may send `share` requests per window;
+    /// none is returned if it is zero.
+    pub fn next_at(&self, share: u64, window_millis: u64, now: Moment) -> Option<Moment> {
+        let share = usize::try_from(share).unwrap_or(usize::MAX);
+        if share == 0 {
             return None;
         }
-        let Some(place) = self.0.len().checked_sub(part) else { return Some(now) };
-        Some(self.0[place].after_millis(window_millis).max(now))
+        let Some(index) = self.0.len().checked_sub(share) else { return Some(now) };
+        Some(self.0[index].after_millis(window_millis).max(now))
     }
 
-    /// Counts one more, and forgets those that no window of `window_millis` holds any more.
+    /// Records a send, and discards those that no window of `window_millis` contains any more.
     pub fn push(&mut self, window_millis: u64, now: Moment) {
-        let oldest = Moment(now.0.saturating_sub(window_millis.saturating_mul(MICROS_PER_MILLI)));
-        while self.0.front().is_some_and(|at| *at <= oldest) {
+        let window_start = Moment(now.0.saturating_sub(window_millis.saturating_mul(MICROS_PER_MILLI)));
+        while self.0.front().is_some_and(|sent_at| *sent_at <= window_start) {
             self.0.pop_front();
         }
         self.0.push_back(now);
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -1,9 +1,9 @@
-//! What goes, waits or is refused when prompts ask for more memory than engines have.
+//! Admission when prompts ask for more memory than the engines have.
 //!
-//! The model: engines read their prompts one after the other, and a run holds the prompt's memory until its last
-//! event. When the memory runs out, the newest run is thrown away and read again from its start. Figures are those
-//! of a fleet with 70,000 tokens of memory an engine, 48 tokens read in a millisecond, and 2 s of events beside
-//! other prompts' reading.
+//! Model: engines prefill their prompts one after the other, and a run holds the prompt's memory until its
+//! last event. When the memory runs out, the newest run is preempted and prefilled again from its start. The
+//! figures are those of a fleet with 70,000 tokens of memory per engine, 48 tokens prefilled per millisecond,
+//! and 2 s of events beside the prefill of other prompts.
 
 use spanfold_decide::{
     AdmissionVerdict, AdmissionView, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable,
@@ -14,13 +14,13 @@
 use std::collections::{BTreeMap, VecDeque};
 
 const ENGINES: usize = 3;
-const MEMORY: u64 = 70_000;
-const PROMPT: u64 = 12_000;
-/// Tokens of a part that all prompts begin with: an engine keeps it once.
-const SHARED: u64 = 2_000;
-const PIECE: u64 = 2_048;
-const READ_MILLIS: u64 = 250;
-const EVENT_MILLIS: u64 = 2_000;
+const MEMORY_TOKENS: u64 = 70_000;
+const PROMPT_TOKENS: u64 = 12_000;
+/// Tokens of a segment with which all prompts begin: an engine caches it once.
+const SHARED_TOKENS: u64 = 2_000;
+const BLOCK_TOKENS: u64 = 2_048;
+const PREFILL_MILLIS: u64 = 250;
+const EVENTS_MILLIS: u64 = 2_000;
 const OBJECTIVE_MILLIS: u64 = 1_200;
 const STEP_MILLIS: u64 = 10;
 
@@ -39,7 +39,7 @@
 }
 
 fn table() -> FleetTable {
-    let engine = EngineSpec { slots: 64, memory_tokens: MEMORY, ..EngineSpec::default() };
+    let engine = EngineSpec { slots: 64, memory_tokens: MEMORY_TOKENS, ..EngineSpec::default() };
     let row = ServiceRow { engine: Some(engine), ..ServiceRow::default() };
     let services = BTreeMap::from([("llm".to_owned(), row)]);
     let mut table = FleetTable::default();
@@ -65,13 +65,13 @@
 }
 
 fn choose(table: &FleetTable, memory_fraction: f64, now: Moment) -> PlacementChoice {
-    let parts = [PromptSegment { key: 1, tokens: PROMPT as u32 }];
-    let ask = PlacementRequest {
+    let segments = [PromptSegment { key: 1, tokens: PROMPT_TOKENS as u32 }];
+    let request = PlacementRequest {
         service: "llm",
         data_centre: "dc-a",
         silent: &[],
-        parts: &parts,
-        prompt_tokens: PROMPT as u32,
+        parts: &segments,
+        prompt_tokens: PROMPT_TOKENS as u32,
         output_tokens: 55,
         objective_millis: OBJECTIVE_MILLIS,
         bytes: 0,
@@ -85,160 +85,187 @@
         shares: ShareView::default(),
         draw: || 0.0,
     };
-    place(table, &ask, now).unwrap()
+    place(table, &request, now).unwrap()
 }
 
-/// One prompt at an engine: when it arrived at the VM, what was counted for it, and its work left.
-struct Run {
-    received: u64,
+/// A prompt at an engine: its arrival at the VM, its counted load, and its remaining work.
+struct EngineRun {
+    received_millis: u64,
     load: LoadCount,
-    read_left: u64,
-    events_left: u64,
+    prefill_left_millis: u64,
+    events_left_millis: u64,
 }
 
 #[derive(Default)]
 struct Engine {
-    waiting: VecDeque<Run>,
-    running: Vec<Run>,
+    waiting: VecDeque<EngineRun>,
+    running: Vec<EngineRun>,
 }
 
 #[derive(Default)]
-struct Outcome {
-    thrown_away: u32,
+struct Totals {
+    preempted: u32,
     refused: u32,
-    read_millis: u64,
-    /// By the second of arrival: answers in time, and all.
+    prefill_millis: u64,
+    /// Answers in time and all prompts, by the second of arrival.
     in_time: BTreeMap<u64, (u32, u32)>,
 }
 
 impl Engine {
     fn used(&self) -> u64 {
-        let own = |run: &Run| (PROMPT - SHARED) * (READ_MILLIS - run.read_left) / READ_MILLIS;
-        SHARED + self.running.iter().map(own).sum::<u64>()
+        let own_tokens = |run: &EngineRun| {
+            (PROMPT_TOKENS - SHARED_TOKENS) * (PREFILL_MILLIS - run.prefill_left_millis) / PREFILL_MILLIS
+        };
+        SHARED_TOKENS + self.running.iter().map(own_tokens).sum::<u64>()
     }
 
-    /// A prompt is taken in if its first piece fits; its memory grows as it is read.
-    fn step(&mut self, now: u64, outcome: &mut Outcome, mut ended: impl FnMut(LoadCount, bool)) {
-        if self.running.iter().all(|run| run.read_left == 0)
-            && self.used() + PIECE <= MEMORY
+    /// Advances the engine by one step. A prompt is accepted if its first block fits; its memory grows with
+    /// its prefill.
+    fn step(&mut self, now: u64, totals: &mut Totals, mut release: impl FnMut(LoadCount, bool)) {
+        if self.running.iter().all(|run| run.prefill_left_millis == 0)
+            && self.used() + BLOCK_TOKENS <= MEMORY_TOKENS
             && let Some(run) = self.waiting.pop_front()
         {
             self.running.push(run);
         }
-        if let Some(run) = self.running.iter_mut().find(|run| run.read_left > 0) {
-            run.read_left -= STEP_MILLIS;
-            outcome.read_millis += STEP_MILLIS;
-            if run.read_left == 0 {
-                let row = outcome.in_time.entry(run.received / 1_000).or_default();
-                row.0 += u32::from(now <= run.received + OBJECTIVE_MILLIS);
-                ended(run.load, false);
+        if let Some(run) = self.running.iter_mut().find(|run| run.prefill_left_millis > 0) {
+            run.prefill_left_millis -= STEP_MILLIS;
+            totals.prefill_millis += STEP_MILLIS;
+            if run.prefill_left_millis == 0 {
+                let row = totals.in_time.entry(run.received_millis / 1_000).or_default();
+                row.0 += u32::from(now <= run.received_millis + OBJECTIVE_MILLIS);
+                release(run.load, false);
             }
         }
-        if self.used() > MEMORY {
+        if self.used() > MEMORY_TOKENS {
             let newest = self.running.pop().unwrap();
-            outcome.thrown_away += 1;
-            self.waiting.push_front(Run { read_left: READ_MILLIS, ..newest });
+            totals.preempted += 1;
+            self.waiting.push_front(EngineRun { prefill_left_millis: PREFILL_MILLIS, ..newest });
         }
-        for run in self.running.iter_mut().filter(|run| run.read_left == 0) {
-            run.events_left = run.events_left.saturating_sub(STEP_MILLIS);
+        for run in self.running.iter_mut().filter(|run| run.prefill_left_millis == 0) {
+            run.events_left_millis = run.events_left_millis.saturating_sub(STEP_MILLIS);
         }
         self.running.retain(|run| {
-            let lives = run.read_left > 0 || run.events_left > 0;
-            if !lives {
-                ended(run.load, true);
+            let is_running = run.prefill_left_millis > 0 || run.events_left_millis > 0;
+            if !is_running {
+                release(run.load, true);
             }
-            lives
+            is_running
         });
     }
 }
 
-/// Plays 12 s: 4 prompts a second, but `burst` as many from second 2 to 5.
-fn play(burst: u64, admits: bool) -> Outcome {
+/// Simulates 12 s with 4 prompts a second, and `burst` times as many from second 2 to 5.
+fn simulate(burst: u64, admits: bool) -> Totals {
     let mut table = table();
     let mut engines: Vec<Engine> = (0..ENGINES).map(|_| Engine::default()).collect();
-    let mut outcome = Outcome::default();
-    let mut line: VecDeque<u64> = VecDeque::new();
-    let mut owed = 0;
+    let mut totals = Totals::default();
+    let mut waiting_prompts: VecDeque<u64> = VecDeque::new();
+    let mut prompt_credit = 0;
     for now_millis in (0..12_000).step_by(STEP_MILLIS as usize) {
         let now = Moment(0).after_millis(now_millis);
-        owed += STEP_MILLIS * 4 * if (2_000..5_000).contains(&now_millis) { burst } else { 1 };
-        while owed >= 1_000 {
-            owed -= 1_000;
-            line.push_back(now_millis);
-            outcome.in_time.entry(now_millis / 1_000).or_default().1 += 1;
+        prompt_credit += STEP_MILLIS * 4 * if (2_000..5_000).contains(&now_millis) { burst } else { 1 };
+        while prompt_credit >= 1_000 {
+            prompt_credit -= 1_000;
+            waiting_prompts.push_back(now_millis);
+            totals.in_time.entry(now_millis / 1_000).or_default().1 += 1;
         }
-        for received in std::mem::take(&mut line) {
+        for received in std::mem::take(&mut waiting_prompts) {
             let view = view(received);
             let choice = choose(&table, if admits { view.memory_fraction(now) } else { 1.0 }, now);
             match view.admit(&choice, now) {
-                AdmissionVerdict::Wait if admits => line.push_back(received),
-                AdmissionVerdict::Refuse(_) if admits => outcome.refused += 1,
+                AdmissionVerdict::Wait if admits => waiting_prompts.push_back(received),
+                AdmissionVerdict::Refuse(_) if admits => totals.refused += 1,
                 _ => {
                     table.take(choice.key, choice.load, &[], 0);
                     let engine = (0..ENGINES).find(|engine| key(*engine) == choice.key).unwrap();
-                    let run = Run {
-                        received,
+                    let run = EngineRun {
+                        received_millis: received,
                         load: choice.load,
-                        read_left: READ_MILLIS,
-                        events_left: EVENT_MILLIS,
+                        prefill_left_millis: PREFILL_MILLIS,
+                        events_left_millis: EVENTS_MILLIS,
                     };
                     engines[engine].waiting.push_back(run);
                 }
             }
         }
         for (number, engine) in engines.iter_mut().enumerate() {
-            engine.step(now_millis, &mut outcome, |load, whole| {
-                let part = LoadCount { unread_tokens: load.unread_tokens, ..LoadCount::default() };
-                let rest = LoadCount { unread_tokens: 0, ..load };
-                table.release(key(number), if whole { rest } else { part });
+            engine.step(now_millis, &mut totals, |load, is_finished| {
+                let prefill_load = LoadCount { unread_tokens: load.unread_tokens, ..LoadCount::default() };
+                let other_load = LoadCount { unread_tokens: 0, ..load };
+                table.release(key(number), if is_finished { other_load } else { prefill_load });
             });
         }
     }
-    outcome
+    totals
 }
 
 #[test]
-fn a_burst_of_twice_the_traffic_throws_no_run_away() {
-    // Sent at once, as before: runs are thrown away, and read again.
-    let before = play(3, false);
-    assert!(before.thrown_away > 10, "{}", before.thrown_away);
-    let after = play(3, true);
-    assert_eq!(after.thrown_away, 0);
-    // Engines read no more than was asked for: here it keeps answers as timely as reading much twice.
-    let asked = u64::from(after.in_time.values().map(|(_, all)| all).sum::<u32>() - after.refused);
-    assert!(after.read_millis <= asked * READ_MILLIS, "{} {asked}", after.read_millis);
-    assert!(before.read_millis > after.read_millis * 6 / 5, "{} {}", before.read_millis, after.read_millis);
-    let sum = |outcome: &Outcome| outcome.in_time.values().map(|(in_time, _)| in_time).sum::<u32>();
-    assert!(sum(&after) * 20 >= sum(&before) * 19, "{} {}", sum(&after), sum(&before));
+fn a_burst_of_twice_the_traffic_preempts_no_run() {
+    // Without admission, all prompts are sent at once: runs are preempted and prefilled again.
+    let without_admission = simulate(3, false);
+    assert!(without_admission.preempted > 10, "{}", without_admission.preempted);
+    let with_admission = simulate(3, true);
+    assert_eq!(with_admission.preempted, 0);
+    // Engines prefill no more than was requested. Here, this keeps as many answers in time as recomputing
+    // many prompts does.
+    let admitted =
+        u64::from(with_admission.in_time.values().map(|(_, all)| all).sum::<u32>() - with_admission.refused);
+    assert!(
+        with_admission.prefill_millis <= admitted * PREFILL_MILLIS,
+        "{} {admitted}",
+        with_admission.prefill_millis
+    );
+    assert!(
+        without_admission.prefill_millis > with_admission.prefill_millis * 6 / 5,
+        "{} {}",
+        without_admission.prefill_millis,
+        with_admission.prefill_millis
+    );
+    let sum = |totals: &Totals| totals.in_time.values().map(|(in_time, _)| in_time).sum::<u32>();
+    assert!(
+        sum(&with_admission) * 20 >= sum(&without_admission) * 19,
+        "{} {}",
+        sum(&with_admission),
+        sum(&without_admission)
+    );
 }
 
 #[test]
 fn four_seconds_after_a_burst_all_answers_are_in_time_again() {
-    let outcome = play(2, true);
-    let late = outcome.in_time.range(9..11).filter(|(_, (in_time, all))| in_time < all).count();
-    assert_eq!(late, 0, "{:?}", outcome.in_time);
+    let totals = simulate(2, true);
+    let late = totals.in_time.range(9..11).filter(|(_, (in_time, all))| in_time < all).count();
+    assert_eq!(late, 0, "{:?}", totals.in_time);
 }
 
 #[test]
-fn without_a_burst_nobody_waits_until_late() {
-    let outcome = play(1, true);
-    assert_eq!((outcome.thrown_away, outcome.refused), (0, 0));
-    assert!(outcome.in_time.range(..11).all(|(_, (in_time, all))| in_time == all), "{:?}", outcome.in_time);
+fn without_a_burst_all_answers_are_in_time() {
+    let totals = simulate(1, true);
+    assert_eq!((totals.preempted, totals.refused), (0, 0));
+    assert!(totals.in_time.range(..11).all(|(_, (in_time, all))| in_time == all), "{:?}", totals.in_time);
 }
 
-fn full(excess_tokens: u64, expected_millis: u64) -> PlacementChoice {
+fn choice(excess_tokens: u64, expected_millis: u64) -> PlacementChoice {
     PlacementChoice { excess_tokens, expected_micros: expected_millis * 1_000, ..PlacementChoice::default() }
 }
 
 #[yare::parameterized(
-    room_and_in_time = { 0, 900, 0, AdmissionVerdict::Go },
-    no_room = { 1, 300, 0, AdmissionVerdict::Wait },
-    late_but_nothing_waits_there = { 0, 1_900, 0, AdmissionVerdict::Go },
-    callers_would_leave = { 1, 300, 3_200, AdmissionVerdict::Refuse(300) },
-    cannot_come_before_callers_leave = { 1, 3_500, 0, AdmissionVerdict::Refuse(300) },
+    capacity_and_in_time = { 0, 900, 0, AdmissionVerdict::Go },
+    no_capacity = { 1, 300, 0, AdmissionVerdict::Wait },
+    late_with_a_short_queue = { 0, 1_900, 0, AdmissionVerdict::Go },
+    callers_would_disconnect = { 1, 300, 3_200, AdmissionVerdict::Refuse(300) },
+    first_event_after_callers_disconnect = { 1, 3_500, 0, AdmissionVerdict::Refuse(300) },
 )]
-fn a_prompt_goes_waits_or_is_refused_at_once(over: u64, expected: u64, now: u64, verdict: AdmissionVerdict) {
-    assert_eq!(view(0).admit(&full(over, expected), Moment(0).after_millis(now)), verdict);
+fn a_prompt_is_sent_waits_or_is_refused_at_once(
+    excess_tokens: u64,
+    expected_millis: u64,
+    now_millis: u64,
+    verdict: AdmissionVerdict,
+) {
+    assert_eq!(
+        view(0).admit(&choice(excess_tokens, expected_millis), Moment(0).after_millis(now_millis)),
+        verdict
+    );
 }
 
 #[test]
@@ -247,15 +274,16 @@
     assert!(urgent.memory_fraction(Moment(0)) > view(0).memory_fraction(Moment(0)));
     let late = Moment(0).after_millis(OBJECTIVE_MILLIS);
     assert!(view(0).memory_fraction(Moment(0)) > view(0).memory_fraction(late));
-    // The least urgent still may fill an engine.
+    // The least urgent prompts may still fill an engine.
     assert!(AdmissionView { rank: 9, ..view(0) }.memory_fraction(Moment(0)) >= 1.0);
 }
 
 #[test]
-fn many_vms_that_see_the_same_room_do_not_all_take_it() {
-    // Each of 82 VMs has a prompt waiting when room for a few is told: all of them sending is what the lot prevents.
+fn many_vms_do_not_all_claim_the_same_free_capacity() {
+    // Each of 82 VMs has a waiting prompt when free capacity for a few is reported. The random draw prevents
+    // all of them from sending.
     assert!(claim_probability(82) * 82.0 < 5.0);
-    // Few VMs need few more looks: three on average, of 20 ms each.
+    // Few VMs need few more polls: three on average, 20 ms apart.
     assert!(claim_probability(9) > 1.0 / 3.0);
     assert!((claim_probability(0) - 1.0).abs() < f64::EPSILON);
 }
--- a/crates/decide/tests/endpoint_sample.rs
+++ b/crates/decide/tests/endpoint_sample.rs
@@ -1,4 +1,5 @@
-//! Many VMs before many engines, which learn of one another's choices late: no engine attracts all of them.
+//! Placement by many VMs on many engines with delayed load reports: no engine attracts the requests of all
+//! VMs.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -46,12 +47,12 @@
     table
 }
 
-fn ask<'a>(parts: &'a [PromptSegment], exclude: &'a [EndpointKey]) -> PlacementRequest<'a> {
+fn request<'a>(segments: &'a [PromptSegment], exclude: &'a [EndpointKey]) -> PlacementRequest<'a> {
     PlacementRequest {
         service: "llm",
         data_centre: "dc-1",
         silent: &[],
-        parts,
+        parts: segments,
         prompt_tokens: 9_000,
         output_tokens: 10,
         objective_millis: 500,
@@ -68,17 +69,18 @@
     }
 }
 
-/// The most of 200 prompts, placed by VMs that have not heard of one another, at one engine; three keep their first part.
-fn most_at_one(engines: usize) -> usize {
-    let parts = [PromptSegment { key: 1, tokens: 2_500 }, PromptSegment { key: 2, tokens: 6_500 }];
+/// Returns the highest count of 200 prompts at one engine. The placing VMs have received no loads from one
+/// another, and three engines have cached the first segment.
+fn max_at_one_engine(engines: usize) -> usize {
+    let segments = [PromptSegment { key: 1, tokens: 2_500 }, PromptSegment { key: 2, tokens: 6_500 }];
     let mut table = table(engines);
     let salt = short_digest(&salt_text("shared", "m", 1));
     for number in [1, 6, 11] {
-        table.record_segments(EndpointKey::of(&format!("i-{number}")), &parts[..1], salt);
+        table.record_segments(EndpointKey::of(&format!("i-{number}")), &segments[..1], salt);
     }
     let mut counts = BTreeMap::new();
     for _ in 0..200 {
-        let choice = place(&table, &ask(&parts, &[]), NOW).unwrap();
+        let choice = place(&table, &request(&segments, &[]), NOW).unwrap();
         *counts.entry(choice.key).or_insert(0) += 1;
     }
     counts.into_values().max().unwrap()
@@ -86,24 +88,25 @@
 
 #[test]
 fn no_engine_attracts_the_prompts_of_all_vms() {
-    // At the size of small deployments all meet at the three that keep the part; loads are known sooner there.
-    assert!(most_at_one(60) >= 60);
+    // In small deployments all prompts go to the three engines that have cached the segment; loads propagate
+    // sooner there.
+    assert!(max_at_one_engine(60) >= 60);
     for engines in [2_000, 9_773, 20_000] {
-        let most = most_at_one(engines);
-        assert!(most <= 50 * 2_000 / engines + 5, "{most} of 200 at one of {engines} engines");
+        let max_count = max_at_one_engine(engines);
+        assert!(max_count <= 50 * 2_000 / engines + 5, "{max_count} of 200 at one of {engines} engines");
     }
 }
 
 #[test]
 fn an_engine_outside_the_sample_is_found_when_no_other_is_left() {
-    let parts = [PromptSegment { key: 1, tokens: 9_000 }];
+    let segments = [PromptSegment { key: 1, tokens: 9_000 }];
     let mut table = table(2_000);
-    let only = EndpointKey::of("i-1003");
+    let remaining = EndpointKey::of("i-1003");
     for number in (0..2_000).filter(|number| *number != 1_003) {
         table.mark_entry_missing(&format!("i-{number}"), Moment(0));
     }
     for _ in 0..20 {
-        assert_eq!(place(&table, &ask(&parts, &[]), NOW).unwrap().key, only);
+        assert_eq!(place(&table, &request(&segments, &[]), NOW).unwrap().key, remaining);
     }
-    assert!(place(&table, &ask(&parts, &[only]), NOW).is_none());
+    assert!(place(&table, &request(&segments, &[remaining]), NOW).is_none());
 }
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go.
+//! Placement of requests on endpoints.
 
 use spanfold_decide::{
     CacheChange, CacheUpdate, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable,
@@ -8,7 +8,7 @@
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
 
-const MEMORY: u64 = 40_000;
+const MEMORY_TOKENS: u64 = 40_000;
 const NOW: Moment = Moment(1_000_000);
 
 fn entry(id: &str, data_centre: &str, version: u64) -> EndpointEntry {
@@ -27,8 +27,12 @@
 }
 
 fn table(entries: &[EndpointEntry]) -> FleetTable {
-    let engine =
-        EngineSpec { slots: 64, memory_tokens: MEMORY, token_bytes: 18_432, models: vec!["m".to_owned()] };
+    let engine = EngineSpec {
+        slots: 64,
+        memory_tokens: MEMORY_TOKENS,
+        token_bytes: 18_432,
+        models: vec!["m".to_owned()],
+    };
     let store = StoreSpec {
         address: "127.0.0.1:8".parse().unwrap(),
         data_centre: "dc-a".to_owned(),
@@ -50,22 +54,22 @@
     table
 }
 
-fn two() -> FleetTable {
+fn two_engines() -> FleetTable {
     table(&[entry("i-1", "dc-a", 1), entry("i-2", "dc-a", 1)])
 }
 
-const PARTS: [PromptSegment; 3] = [
+const SEGMENTS: [PromptSegment; 3] = [
     PromptSegment { key: 1, tokens: 2_500 },
     PromptSegment { key: 2, tokens: 5_000 },
     PromptSegment { key: 3, tokens: 1_500 },
 ];
 
-fn ask() -> PlacementRequest<'static> {
+fn request() -> PlacementRequest<'static> {
     PlacementRequest {
         service: "llm",
         data_centre: "dc-a",
         silent: &[],
-        parts: &PARTS,
+        parts: &SEGMENTS,
         prompt_tokens: 9_000,
         output_tokens: 10,
         objective_millis: 500,
@@ -90,194 +94,199 @@
     EndpointKey::of(id)
 }
 
-fn chosen(table: &FleetTable, ask: &PlacementRequest<'_>) -> PlacementChoice {
-    place(table, ask, NOW).unwrap()
+fn chosen(table: &FleetTable, request: &PlacementRequest<'_>) -> PlacementChoice {
+    place(table, request, NOW).unwrap()
 }
 
 #[test]
-fn the_engine_with_less_waiting_work_is_chosen_whoever_sent_it() {
-    let mut table = two();
+fn the_engine_with_less_queued_work_is_chosen_whichever_vm_sent_it() {
+    let mut table = two_engines();
     table.take(key("i-1"), load(5_000, 5_000), &[], 0);
-    assert_eq!(chosen(&table, &ask()).key, key("i-2"));
+    assert_eq!(chosen(&table, &request()).key, key("i-2"));
     table.apply_peer_loads(LoadSource::Vm(VmKey::of("vm-2")), &[(key("i-2"), load(9_000, 9_000))], NOW);
-    assert_eq!(chosen(&table, &ask()).key, key("i-1"));
-    // A peer that is silent for long is gone, and its requests with it.
+    assert_eq!(chosen(&table, &request()).key, key("i-1"));
+    // A peer whose silence timeout has passed is departed, and its requests no longer count.
     let later = NOW.after_millis(5_000);
-    assert_eq!(place(&table, &ask(), later).unwrap().key, key("i-2"));
+    assert_eq!(place(&table, &request(), later).unwrap().key, key("i-2"));
 }
 
 #[test]
-fn an_engine_with_room_goes_before_one_with_a_shorter_queue() {
-    let mut table = two();
-    table.take(key("i-1"), load(0, MEMORY - 5_000), &[], 0);
+fn an_engine_with_free_capacity_precedes_one_with_a_shorter_queue() {
+    let mut table = two_engines();
+    table.take(key("i-1"), load(0, MEMORY_TOKENS - 5_000), &[], 0);
     table.take(key("i-2"), load(9_000, 9_000), &[], 0);
-    let choice = chosen(&table, &ask());
+    let choice = chosen(&table, &request());
     assert_eq!((choice.key, choice.excess_tokens), (key("i-2"), 0));
-    // Whoever may fill more of the memory finds room there.
-    let choice = chosen(&table, &PlacementRequest { memory_fraction: 1.15, ..ask() });
+    // A request that may fill more of the memory finds free capacity there.
+    let choice = chosen(&table, &PlacementRequest { memory_fraction: 1.15, ..request() });
     assert_eq!((choice.key, choice.excess_tokens), (key("i-1"), 0));
-    table.take(key("i-2"), load(0, MEMORY), &[], 0);
-    assert_eq!(chosen(&table, &ask()).excess_tokens, 9_010 - 5_000);
+    table.take(key("i-2"), load(0, MEMORY_TOKENS), &[], 0);
+    assert_eq!(chosen(&table, &request()).excess_tokens, 9_010 - 5_000);
 }
 
 #[test]
-fn endpoints_that_leave_failed_or_are_excluded_are_passed_over() {
-    let mut table = two();
+fn departing_failed_and_excluded_endpoints_are_skipped() {
+    let mut table = two_engines();
     table.apply_entry(EndpointEntry { draining: true, ..entry("i-1", "dc-a", 1) }, Moment(0));
-    assert_eq!(chosen(&table, &ask()).key, key("i-2"));
+    assert_eq!(chosen(&table, &request()).key, key("i-2"));
     let excluded = [key("i-2")];
-    assert!(place(&table, &PlacementRequest { exclude: &excluded, ..ask() }, NOW).is_none());
+    assert!(place(&table, &PlacementRequest { exclude: &excluded, ..request() }, NOW).is_none());
     // An ejected endpoint is better than none.
     table.learn(key("i-2"), SendOutcome::Broken, NOW);
-    assert_eq!(chosen(&table, &ask()).key, key("i-2"));
+    assert_eq!(chosen(&table, &request()).key, key("i-2"));
 }
 
 #[test]
 fn a_broken_endpoint_is_tried_again_by_one_request_at_a_time() {
-    let mut table = two();
+    let mut table = two_engines();
     table.learn(key("i-1"), SendOutcome::Broken, NOW);
     table.take(key("i-2"), load(20_000, 20_000), &[], 0);
-    assert_eq!(chosen(&table, &ask()).key, key("i-2"));
+    assert_eq!(chosen(&table, &request()).key, key("i-2"));
     let later = NOW.after_millis(800);
-    assert_eq!(place(&table, &ask(), later).unwrap().key, key("i-1"));
+    assert_eq!(place(&table, &request(), later).unwrap().key, key("i-1"));
     table.take(key("i-1"), load(0, 0), &[], 0);
-    assert_eq!(place(&table, &ask(), later).unwrap().key, key("i-2"));
+    assert_eq!(place(&table, &request(), later).unwrap().key, key("i-2"));
 }
 
 #[test]
-fn weights_that_are_overdue_get_no_request() {
+fn overdue_weights_get_no_request() {
     let table = table(&[entry("i-1", "dc-a", 1), entry("i-2", "dc-b", 2)]);
-    let wanted = |bound| RequiredWeights { newest: 2, bounds: vec![(2, bound)] };
-    let (fresh, overdue) = (wanted(NOW.after_millis(9_000)), wanted(NOW));
-    // Old weights are only a drawback, until they are overdue.
-    let small = PlacementRequest { bytes: 100, ..ask() };
-    assert_eq!(chosen(&table, &PlacementRequest { wanted: Some(&fresh), ..small.clone() }).key, key("i-2"));
+    let required = |bound| RequiredWeights { newest: 2, bounds: vec![(2, bound)] };
+    let (not_overdue, overdue) = (required(NOW.after_millis(9_000)), required(NOW));
+    // Old weights only raise the cost, until they are overdue.
+    let small = PlacementRequest { bytes: 100, ..request() };
+    assert_eq!(
+        chosen(&table, &PlacementRequest { wanted: Some(&not_overdue), ..small.clone() }).key,
+        key("i-2")
+    );
     let only = [key("i-2")];
-    let at_one = PlacementRequest { wanted: Some(&overdue), exclude: &only, ..small.clone() };
-    assert!(place(&table, &at_one, NOW).is_none());
+    let at_old_weights = PlacementRequest { wanted: Some(&overdue), exclude: &only, ..small.clone() };
+    assert!(place(&table, &at_old_weights, NOW).is_none());
     assert!(
-        place(&table, &PlacementRequest { wanted: Some(&fresh), exclude: &only, ..small }, NOW).is_some()
+        place(&table, &PlacementRequest { wanted: Some(&not_overdue), exclude: &only, ..small }, NOW)
+            .is_some()
     );
 }
 
 #[test]
-fn a_request_is_not_sent_where_weights_may_be_overdue_when_it_begins() {
-    // A prompt that waited 1.8 s at its engine began 10.5 s after newer weights were named, where 10 s are allowed.
+fn a_request_is_not_sent_where_weights_may_be_overdue_at_its_start() {
+    // A prompt that waited 1.8 s at its engine started 10.5 s after newer weights were published, where 10 s
+    // are allowed.
     let mut table = table(&[entry("i-1", "dc-a", 1)]);
-    let wanted = RequiredWeights { newest: 2, bounds: vec![(2, NOW.after_millis(2_500))] };
-    let ask = PlacementRequest { wanted: Some(&wanted), ..ask() };
-    assert!(place(&table, &ask, NOW).is_some());
-    // When the bound is near.
-    assert!(place(&table, &ask, NOW.after_millis(1_700)).is_none());
-    // When much waits there before it.
+    let required = RequiredWeights { newest: 2, bounds: vec![(2, NOW.after_millis(2_500))] };
+    let request = PlacementRequest { wanted: Some(&required), ..request() };
+    assert!(place(&table, &request, NOW).is_some());
+    // The bound is near.
+    assert!(place(&table, &request, NOW.after_millis(1_700)).is_none());
+    // Much work is queued there before it.
     table.take(key("i-1"), load(45_000, 20_000), &[], 0);
-    assert!(place(&table, &ask, NOW).is_none());
+    assert!(place(&table, &request, NOW).is_none());
 }
 
 #[test]
 fn a_request_stays_in_its_data_centre_unless_waiting_costs_more() {
     let mut table = table(&[entry("i-1", "dc-a", 1), entry("i-2", "dc-b", 1)]);
-    assert_eq!(chosen(&table, &ask()).key, key("i-1"));
+    assert_eq!(chosen(&table, &request()).key, key("i-1"));
     table.take(key("i-1"), load(1_000, 1_000), &[], 0);
-    assert_eq!(chosen(&table, &ask()).key, key("i-1"));
+    assert_eq!(chosen(&table, &request()).key, key("i-1"));
     table.take(key("i-1"), load(9_000, 9_000), &[], 0);
-    assert_eq!(chosen(&table, &ask()).key, key("i-2"));
+    assert_eq!(chosen(&table, &request()).key, key("i-2"));
 }
 
 #[test]
-fn parts_that_a_store_holds_are_moved_and_only_under_the_same_salt() {
-    let mut table = two();
+fn stored_segments_are_transferred_only_under_the_same_cache_salt() {
+    let mut table = two_engines();
     let now = NOW;
-    let salted = |part, tokens| CacheChange {
+    let change = |segment, tokens| CacheChange {
         salt: "shared.m.1".to_owned(),
-        part,
-        segment_text: part.to_string(),
+        part: segment,
+        segment_text: segment.to_string(),
         tokens,
     };
-    let news = CacheUpdate {
+    let update = CacheUpdate {
         incarnation: 1,
-        changes: vec![salted(1, 2_500), salted(2, 5_000)],
+        changes: vec![change(1, 2_500), change(2, 5_000)],
         ..CacheUpdate::default()
     };
-    let before = chosen(&table, &ask());
+    let before = chosen(&table, &request());
     assert_eq!((before.kept.moved_tokens, before.load.unread_tokens), (0, 9_000));
-    // What no store holds is to be saved, the request's own part left out.
-    assert_eq!(before.kept.saves, [None, None, None], "the store was not heard yet");
-    table.store_mut(key("kept")).unwrap().replace(&news, now.after_millis(1_000));
-    let after = chosen(&table, &ask());
+    // Segments that no store contains are to be saved, except the request's own one.
+    assert_eq!(before.kept.saves, [None, None, None], "no update received from the store yet");
+    table.store_mut(key("kept")).unwrap().replace(&update, now.after_millis(1_000));
+    let after = chosen(&table, &request());
     assert_eq!((after.kept.moved_tokens, after.load.unread_tokens), (7_500, 1_500));
     assert_eq!(after.kept.fetches, [Some(key("kept")), Some(key("kept")), None]);
     assert!(after.expected_micros < before.expected_micros);
-    let walled = chosen(&table, &PlacementRequest { wall: "account:one", ..ask() });
-    assert_eq!(walled.kept.moved_tokens, 0);
-    assert_eq!(walled.kept.saves, [Some(key("kept")), Some(key("kept")), None]);
+    let isolated = chosen(&table, &PlacementRequest { wall: "account:one", ..request() });
+    assert_eq!(isolated.kept.moved_tokens, 0);
+    assert_eq!(isolated.kept.saves, [Some(key("kept")), Some(key("kept")), None]);
 }
 
 #[test]
-fn a_part_behind_a_gap_is_not_moved() {
-    let mut table = two();
-    let second =
+fn a_segment_behind_a_gap_is_not_transferred() {
+    let mut table = two_engines();
+    let second_segment =
         CacheChange { salt: "shared.m.1".to_owned(), part: 2, segment_text: "2".to_owned(), tokens: 5_000 };
-    let news = CacheUpdate { incarnation: 1, changes: vec![second], ..CacheUpdate::default() };
-    table.store_mut(key("kept")).unwrap().replace(&news, NOW.after_millis(1_000));
-    let choice = chosen(&table, &ask());
+    let update = CacheUpdate { incarnation: 1, changes: vec![second_segment], ..CacheUpdate::default() };
+    table.store_mut(key("kept")).unwrap().replace(&update, NOW.after_millis(1_000));
+    let choice = chosen(&table, &request());
     assert_eq!((choice.kept.moved_tokens, choice.kept.held_tokens), (0, 5_000));
     assert_eq!(choice.kept.fetches, [None, None, None]);
 }
 
-/// A slow link makes a shared part's move longer than its reading; callers of a long objective still gain by it, since
-/// the engine reads less for all; those of a short one would be late.
+/// A slow link can make the transfer of a shared segment take longer than its prefill. Callers with a long
+/// objective still benefit, since the engine prefills less for all; answers with a short one would be late.
 #[yare::parameterized(
     long_objective = { 1_200, 7_500 },
     short_objective = { 500, 0 },
 )]
-fn a_move_may_take_a_part_of_the_objective(objective_millis: u64, moved_tokens: u64) {
-    let mut table = two();
-    let part = |part: u64, tokens| CacheChange {
+fn a_transfer_may_take_a_fraction_of_the_objective(objective_millis: u64, moved_tokens: u64) {
+    let mut table = two_engines();
+    let change = |segment: u64, tokens| CacheChange {
         salt: "shared.m.1".to_owned(),
-        part,
-        segment_text: part.to_string(),
+        part: segment,
+        segment_text: segment.to_string(),
         tokens,
     };
-    let changes = vec![part(1, 2_500), part(2, 5_000)];
-    let news = CacheUpdate { incarnation: 1, changes, ..CacheUpdate::default() };
-    let row = table.store_mut(key("kept")).unwrap();
-    row.replace(&news, NOW.after_millis(1_000));
-    // Other VMs' moves keep the link busy.
-    row.set_peer(LoadSource::Vm(VmKey(7)), 230_000, None, NOW);
-    let choice = chosen(&table, &PlacementRequest { objective_millis, ..ask() });
+    let changes = vec![change(1, 2_500), change(2, 5_000)];
+    let update = CacheUpdate { incarnation: 1, changes, ..CacheUpdate::default() };
+    let store = table.store_mut(key("kept")).unwrap();
+    store.replace(&update, NOW.after_millis(1_000));
+    // Transfers of other VMs keep the link busy.
+    store.set_peer(LoadSource::Vm(VmKey(7)), 230_000, None, NOW);
+    let choice = chosen(&table, &PlacementRequest { objective_millis, ..request() });
     assert_eq!(choice.kept.moved_tokens, moved_tokens);
 }
 
 #[test]
-fn an_engine_that_keeps_the_prompt_is_worth_some_waiting() {
-    let mut table = two();
+fn an_engine_that_has_cached_the_prompt_precedes_a_shorter_queue() {
+    let mut table = two_engines();
     let salt = spanfold_decide::short_digest("shared.m.1");
-    table.record_segments(key("i-2"), &PARTS[..2], salt);
+    table.record_segments(key("i-2"), &SEGMENTS[..2], salt);
     table.take(key("i-2"), load(3_000, 3_000), &[], 0);
-    let choice = chosen(&table, &ask());
+    let choice = chosen(&table, &request());
     assert_eq!((choice.key, choice.kept.kept_tokens), (key("i-2"), 7_500));
 }
 
 #[test]
-fn an_engine_whose_weights_change_is_spared() {
-    let mut table = two();
+fn a_cordoned_engine_is_skipped() {
+    let mut table = two_engines();
     table.cordon_until(key("i-1"), NOW.after_millis(500));
     table.take(key("i-2"), load(9_000, 9_000), &[], 0);
-    assert_eq!(chosen(&table, &ask()).key, key("i-2"));
-    assert_eq!(place(&table, &ask(), NOW.after_millis(600)).unwrap().key, key("i-1"));
+    assert_eq!(chosen(&table, &request()).key, key("i-2"));
+    assert_eq!(place(&table, &request(), NOW.after_millis(600)).unwrap().key, key("i-1"));
 }
 
 #[test]
-fn a_data_centre_that_fell_silent_is_passed_over_before_connections_fail() {
+fn an_unreachable_data_centre_is_skipped_before_connections_fail() {
     let mut table = table(&[entry("i-1", "dc-a", 1), entry("i-2", "dc-b", 1)]);
     table.take(key("i-1"), load(9_000, 9_000), &[], 0);
-    assert_eq!(chosen(&table, &ask()).key, key("i-2"));
-    assert_eq!(chosen(&table, &PlacementRequest { silent: &["dc-b"], ..ask() }).key, key("i-1"));
-    // It is better than nothing.
+    assert_eq!(chosen(&table, &request()).key, key("i-2"));
+    assert_eq!(chosen(&table, &PlacementRequest { silent: &["dc-b"], ..request() }).key, key("i-1"));
+    // An unreachable data centre is better than none.
     let only = [key("i-1")];
     assert_eq!(
-        chosen(&table, &PlacementRequest { silent: &["dc-b"], exclude: &only, ..ask() }).key,
+        chosen(&table, &PlacementRequest { silent: &["dc-b"], exclude: &only, ..request() }).key,
         key("i-2")
     );
 }
@@ -295,28 +304,28 @@
     let (north, south, both) = (homes(&["north"]), homes(&["south"]), homes(&["north", "south"]));
     let place_with = |route: &[String], account: &[String]| {
         let homes = HomeRegions { route, account };
-        place(&table, &PlacementRequest { homes, ..ask() }, NOW).map(|choice| choice.key)
+        place(&table, &PlacementRequest { homes, ..request() }, NOW).map(|choice| choice.key)
     };
     assert_eq!(place_with(&south, &[]), Some(key("i-2")));
     assert_eq!(place_with(&[], &south), Some(key("i-2")));
     assert_eq!(place_with(&both, &north), Some(key("i-1")));
-    // Both bind; nobody is left, nor in a data centre of no known region.
+    // Both restrictions apply: no endpoint is left, nor one in a data centre of unknown region.
     assert_eq!(place_with(&north, &south), None);
     assert_eq!(place_with(&homes(&["east"]), &[]), None);
 }
 
 #[test]
-fn nothing_is_saved_outside_the_homes_of_a_prompt() {
+fn no_segment_is_saved_outside_the_homes_of_a_prompt() {
     let mut table = table(&[entry("i-1", "dc-a", 1), entry("i-2", "dc-b", 1)]);
     regions(&mut table);
-    for (_, row) in table.stores_mut() {
-        row.replace(&CacheUpdate::default(), Moment::NEVER);
+    for (_, store) in table.stores_mut() {
+        store.replace(&CacheUpdate::default(), Moment::NEVER);
     }
-    // The only store stands in dc-a, in the north.
+    // The only store is in dc-a, in the region north.
     let saves = |home: &str| {
         let route = [home.to_owned()];
         let homes = HomeRegions { route: &route, account: &[] };
-        let choice = chosen(&table, &PlacementRequest { homes, ..ask() });
+        let choice = chosen(&table, &PlacementRequest { homes, ..request() });
         choice.kept.saves.iter().flatten().count()
     };
     assert!(saves("north") > 0);
--- a/crates/decide/tests/routes_and_budget.rs
+++ b/crates/decide/tests/routes_and_budget.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn keys_belong_to_accounts_and_are_not_shown() {
+fn keys_belong_to_accounts_and_are_not_printed() {
     let account =
         AccountRow { name: "one".to_owned(), keys: vec!["secret".to_owned()], ..AccountRow::default() };
     let table = RouteTable::new(DeploymentConfig { accounts: vec![account], ..DeploymentConfig::default() });
@@ -64,8 +64,8 @@
     let mut spent = 0;
     for _ in 0..vms {
         let mut budget = RetryBudget::new(terms);
-        for row in 0..requests {
-            let now = Moment(row as u64 * 30_000);
+        for index in 0..requests {
+            let now = Moment(index as u64 * 30_000);
             budget.count_request("s", now);
             spent += usize::from(budget.try_spend("s", vms, now));
         }
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_budget_returns_with_the_window() {
+fn the_budget_is_restored_after_the_window() {
     let mut budget = RetryBudget::new(BudgetTerms { ratio: 0.0, slack: 3.0, window_millis: 1_000 });
     let spends: Vec<_> = (0..4).map(|_| budget.try_spend("s", 1, Moment(0))).collect();
     assert_eq!(spends, [true, true, false, false]);
@@ -85,12 +85,12 @@
 }
 
 #[test]
-fn homes_of_a_route_and_of_an_account_are_found() {
+fn homes_of_a_route_and_of_an_account_both_apply() {
     let regions = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<Vec<_>>();
-    let bound = RouteRow { homes: regions(&["north", "south"]), ..route("a.example", "/b/") };
+    let restricted = RouteRow { homes: regions(&["north", "south"]), ..route("a.example", "/b/") };
     let account = AccountRow { name: "one".to_owned(), homes: regions(&["south"]), ..AccountRow::default() };
     let config = DeploymentConfig {
-        routes: vec![bound, route("a.example", "/c/")],
+        routes: vec![restricted, route("a.example", "/c/")],
         accounts: vec![account],
         ..DeploymentConfig::default()
     };
