--- a/crates/decide/src/weights/mod.rs
+++ b/crates/decide/src/weights/mod.rs
@@ -1,4 +1,4 @@
-//! Which engine loads which weights next.
+//! Published weight versions, and the order in which engines load them.
 
 mod publication_record;
 mod published_weights;
--- a/crates/decide/src/weights/publication_record.rs
+++ b/crates/decide/src/weights/publication_record.rs
@@ -1,44 +1,44 @@
-//! When weights were named, in a form that outlasts every VM.
+//! Publication times of weights, in a form that survives a restart of all VMs.
 //!
-//! Invariant: times are told on the engines' clock, which goes on while VMs do not; a record never makes a naming
-//! younger than its writer knew it.
+//! Invariant: times are stored by the engines' clock, which continues while VMs are down. A record never
+//! makes a publication more recent than its writer recorded it.
 
 use crate::PublishedWeights;
 use serde::{Deserialize, Serialize};
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 
-/// A record is written anew if a naming turns out to be older by more than this, in milliseconds: VMs hear
-/// of one naming some milliseconds apart.
-const SLACK_MILLIS: u64 = 200;
+/// Age difference above which a record is rewritten, in milliseconds: VMs receive the same publication some
+/// milliseconds apart.
+const REWRITE_THRESHOLD_MILLIS: u64 = 200;
 
-/// When one version was named.
+/// Publication time of one version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamingTime {
-    /// The version.
+    /// Number of the version.
     pub version: u64,
-    /// The engines' clock at its naming, in milliseconds.
+    /// Reading of the engines' clock at its publication, in milliseconds.
     pub clock_millis: u64,
 }
 
-/// When the versions of one model were named that matter still.
+/// Publication times of the relevant versions of one model.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublicationRecord {
     /// Short digest of the model's name.
     pub model: u64,
-    /// The namings, oldest first.
+    /// Publications, oldest first.
     pub namings: Vec<NamingTime>,
 }
 
 impl PublicationRecord {
-    /// What is known of a model at `now`, when the engines' clock stands at `clock_millis`.
+    /// Creates the record of a model at `now`, at reading `clock_millis` of the engines' clock.
     ///
     /// # Examples
     /// ```
-    /// use spanfold_decide::{NamedVersion, NamedWeights, NamingRecord};
+    /// use spanfold_decide::{PublishedVersion, PublishedWeights, PublicationRecord};
     /// use spanfold_entity::Moment;
-    /// let mut weights = NamedWeights::default();
-    /// weights.note(NamedVersion { version: 2, since: Moment(4_000) }, 10, Moment(9_000));
-    /// let record = NamingRecord::new(7, &weights, 100, Moment(9_000));
+    /// let mut weights = PublishedWeights::default();
+    /// weights.note(PublishedVersion { version: 2, since: Moment(4_000) }, 10, Moment(9_000));
+    /// let record = PublicationRecord::new(7, &weights, 100, Moment(9_000));
     /// assert_eq!(record.namings[0].clock_millis, 95);
     /// assert_eq!(record.ages(102).next(), Some((2, 7_000)));
     /// ```
@@ -50,17 +50,20 @@
         Self { model, namings: namings.collect() }
     }
 
-    /// Each version with the microseconds since its naming, when the engines' clock stands at `clock_millis`.
+    /// Returns each version with its age in microseconds, at reading `clock_millis` of the engines' clock.
     pub fn ages(&self, clock_millis: u64) -> impl Iterator<Item = (u64, u64)> {
-        let age = move |row: &NamingTime| clock_millis.saturating_sub(row.clock_millis) * MICROS_PER_MILLI;
-        self.namings.iter().map(move |row| (row.version, age(row)))
+        let age_micros =
+            move |row: &NamingTime| clock_millis.saturating_sub(row.clock_millis) * MICROS_PER_MILLI;
+        self.namings.iter().map(move |row| (row.version, age_micros(row)))
     }
 
-    /// Whether this record tells all that `known` does.
-    pub fn covers(&self, known: &Self) -> bool {
-        known.namings.iter().all(|named| {
-            let recorded = self.namings.iter().find(|row| row.version == named.version);
-            recorded.is_some_and(|row| row.clock_millis <= named.clock_millis.saturating_add(SLACK_MILLIS))
+    /// Whether this record contains all publications of `other`, none of them noticeably later.
+    pub fn covers(&self, other: &Self) -> bool {
+        other.namings.iter().all(|publication| {
+            let recorded = self.namings.iter().find(|row| row.version == publication.version);
+            recorded.is_some_and(|row| {
+                row.clock_millis <= publication.clock_millis.saturating_add(REWRITE_THRESHOLD_MILLIS)
+            })
         })
     }
 }
--- a/crates/decide/src/weights/published_weights.rs
+++ b/crates/decide/src/weights/published_weights.rs
@@ -1,77 +1,78 @@
-//! The weight versions that were named for a model, and when.
+//! Weight versions published for a model, with their publication times.
 //!
-//! Invariant: a naming counts from the earliest moment that anybody has told, whoever told it, and each
-//! version counts by its own naming: a newer one takes nothing back from the bound that an earlier one set.
+//! Invariant: a publication counts from the earliest time that any VM reported, and each version counts by
+//! its own publication: a newer version does not relax the bound that an earlier one set.
 
 use crate::RequiredWeights;
 use spanfold_entity::Moment;
 
-/// Versions named for one model, oldest first.
+/// Versions published for one model, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PublishedWeights(Vec<PublishedVersion>);
 
-/// One version that was named.
+/// A published version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublishedVersion {
-    /// The version.
+    /// Number of the version.
     pub version: u64,
-    /// When it was named, as far as known: not earlier than in truth.
+    /// Recorded time of its publication; never earlier than the real one.
     pub since: Moment,
 }
 
 impl PublishedWeights {
-    /// Takes that `named` was named; returns whether that is news.
+    /// Records a publication; returns whether it is new and relevant.
     ///
-    /// Versions older than one that has been named for `version_millis` are forgotten: whatever they rule out, it
-    /// rules out.
+    /// Versions older than one published at least `version_millis` ago are discarded: that one rules out
+    /// every version that they rule out.
     ///
     /// # Examples
     /// ```
-    /// use spanfold_decide::{NamedVersion, NamedWeights};
+    /// use spanfold_decide::{PublishedVersion, PublishedWeights};
     /// use spanfold_entity::Moment;
-    /// let mut weights = NamedWeights::default();
-    /// assert!(weights.note(NamedVersion { version: 3, since: Moment(9) }, 10, Moment(9)));
-    /// assert!(!weights.note(NamedVersion { version: 3, since: Moment(7) }, 10, Moment(9)));
-    /// assert!(weights.note(NamedVersion { version: 2, since: Moment(5) }, 10, Moment(9)));
+    /// let mut weights = PublishedWeights::default();
+    /// assert!(weights.note(PublishedVersion { version: 3, since: Moment(9) }, 10, Moment(9)));
+    /// assert!(!weights.note(PublishedVersion { version: 3, since: Moment(7) }, 10, Moment(9)));
+    /// assert!(weights.note(PublishedVersion { version: 2, since: Moment(5) }, 10, Moment(9)));
     /// assert_eq!(weights.newest(), Some(3));
     /// ```
-    pub fn note(&mut self, named: PublishedVersion, version_millis: u64, now: Moment) -> bool {
-        let is_news = match self.0.binary_search_by_key(&named.version, |row| row.version) {
-            Ok(place) => {
-                self.0[place].since = self.0[place].since.min(named.since);
+    pub fn note(&mut self, publication: PublishedVersion, version_millis: u64, now: Moment) -> bool {
+        let is_new = match self.0.binary_search_by_key(&publication.version, |row| row.version) {
+            Ok(index) => {
+                self.0[index].since = self.0[index].since.min(publication.since);
                 false
             }
-            Err(place) => {
-                self.0.insert(place, named);
+            Err(index) => {
+                self.0.insert(index, publication);
                 true
             }
         };
-        let overdue = self.0.iter().rposition(|row| now >= row.since.after_millis(version_millis));
-        self.0.drain(..overdue.unwrap_or(0));
-        is_news && self.0.iter().any(|row| row.version == named.version)
+        let newest_overdue = self.0.iter().rposition(|row| now >= row.since.after_millis(version_millis));
+        self.0.drain(..newest_overdue.unwrap_or(0));
+        is_new && self.0.iter().any(|row| row.version == publication.version)
     }
 
-    /// The newest version.
+    /// Returns the newest version.
     pub fn newest(&self) -> Option<u64> {
         self.0.last().map(|row| row.version)
     }
 
-    /// All versions that matter, oldest first.
+    /// Returns all relevant versions, oldest first.
     pub fn versions(&self) -> &[PublishedVersion] {
         &self.0
     }
 
-    /// What a request may start on, if older weights are overdue `version_millis` after a naming.
+    /// Returns the versions on which a request may start. Older weights are overdue `version_millis` after a
+    /// publication.
     ///
     /// # Examples
     /// ```
-    /// use spanfold_decide::{NamedVersion, NamedWeights};
+    /// use spanfold_decide::{PublishedVersion, PublishedWeights};
     /// use spanfold_entity::Moment;
-    /// let mut weights = NamedWeights::default();
-    /// weights.note(NamedVersion { version: 2, since: Moment(5) }, 10, Moment(5));
-    /// let wanted = weights.wanted(10).unwrap();
-    /// assert_eq!(wanted.last_start(1), Moment(5).after_millis(10));
-    /// assert_eq!(wanted.last_start(2), Moment::NEVER);
+    /// let mut weights = PublishedWeights::default();
+    /// weights.note(PublishedVersion { version: 2, since: Moment(5) }, 10, Moment(5));
+    /// let required = weights.wanted(10).unwrap();
+    /// assert_eq!(required.last_start(1), Moment(5).after_millis(10));
+    /// assert_eq!(required.last_start(2), Moment::NEVER);
     /// ```
     pub fn wanted(&self, version_millis: u64) -> Option<RequiredWeights> {
         let bounds = self.0.iter().map(|row| (row.version, row.since.after_millis(version_millis)));
