--- a/crates/decide/src/admit/admission.rs
+++ b/crates/decide/src/admit/admission.rs
@@ -8,7 +8,7 @@
 //!
 //! Invariants: prompts that can still be answered in time take priority over late ones, because they may fill
 //! a larger fraction of an engine's memory. The first prompt refused is the one whose caller would disconnect
-//! before its first event. The refusal is sent as soon as this is certain, not when the caller's timeout has
+//! before its first event. The refusal is sent as soon as this is known, not when the caller's timeout has
 //! passed.
 
 use crate::PlacementChoice;
--- a/crates/decide/src/admit/share_queue.rs
+++ b/crates/decide/src/admit/share_queue.rs
@@ -8,8 +8,8 @@
 //! Each VM serves at the rate of its own shares, and all VMs use the same order: the highest priority first,
 //! then the client account that this VM has served least recently, then the earliest arrival. A request waits
 //! only while it can still be in time, and is refused as soon as the requests before it leave no capacity for
-//! it. Refused requests return one after the other, over all VMs together at the rate at which
-//! the endpoints accept requests.
+//! it. Refused requests return one after the other, over all VMs together at the rate at which the endpoints
+//! accept requests.
 //!
 //! Invariant: a request that could go now is not overtaken, and a request that cannot go now, or has gone
 //! elsewhere, delays no request that can.
--- a/crates/decide/tests/weight_scheduler.rs
+++ b/crates/decide/tests/weight_scheduler.rs
@@ -61,8 +61,8 @@
 #[yare::parameterized(
     own = { "vm-1", 7, 3, LeaseOwnership::Own },
     previous_process = { "vm-1", 6, 2, LeaseOwnership::PreviousProcess },
-    // A VM cut off from the store returned with a new lease, and took an old record of its own for its
-    // current ownership, while another VM was the holder.
+    // A VM cut off from the store returned with a new lease, and took an old record of its own for a valid
+    // one, while another VM was the holder.
     expired = { "vm-1", 7, 2, LeaseOwnership::Expired },
     other = { "vm-2", 7, 3, LeaseOwnership::Other },
 )]
