--- a/crates/gateway/src/endpoints/answer_facts.rs
+++ b/crates/gateway/src/endpoints/answer_facts.rs
@@ -1,7 +1,7 @@
 //! The head of an endpoint's answer, decoded once into one typed value.
 //!
-//! Invariant: whatever an endpoint may state about itself in a head has a field here. Code beyond the adapter reads
-//! [`AnswerFacts`], never headers by name.
+//! Invariant: whatever an endpoint may state about itself in a head has a field here. Code outside the
+//! adapter reads [`AnswerFacts`], never headers by name.
 
 use hyper::StatusCode;
 use hyper::header::HeaderValue;
@@ -10,19 +10,19 @@
 /// A field of a head that may be absent, repeated or invalid.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum HeaderField<T> {
-    /// The head does not have it.
+    /// The head does not contain it.
     #[default]
     Absent,
     /// Its value.
     One(T),
-    /// It has several values; the strictest is given.
+    /// It has several values; this is the strictest.
     Several(T),
-    /// Its value cannot be read.
+    /// Its value cannot be parsed.
     Invalid(HeaderFault),
 }
 
 impl<T: Copy> HeaderField<T> {
-    /// The value, or the strictest of several.
+    /// Returns the value, or the strictest of several.
     ///
     /// # Examples
     /// ```
@@ -47,7 +47,7 @@
         }
     }
 
-    /// What is wrong with the field called `name`, if anything.
+    /// Describes what is wrong with the field called `name`, if anything.
     pub(crate) fn cause(&self, name: &str) -> Option<String> {
         match self {
             Self::Absent | Self::One(_) => None,
@@ -57,19 +57,19 @@
     }
 }
 
-/// Why a field cannot be read.
+/// A header's value that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{name} {value:?} {kind}")]
 pub struct HeaderFault {
     /// Name of the header.
     pub name: &'static str,
-    /// Its value, with replacement signs for bytes that are no text.
+    /// Its value, with replacement characters for bytes that are not text.
     pub value: String,
-    /// What is wrong.
+    /// Why it is invalid.
     pub kind: FaultKind,
 }
 
-/// What is wrong with a field.
+/// Why a header's value is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FaultKind {
     /// It is not a number.
@@ -84,7 +84,7 @@
 }
 
 impl FaultKind {
-    /// Label for metrics.
+    /// Returns the label for metrics.
     ///
     /// # Examples
     /// ```
@@ -99,41 +99,41 @@
     }
 }
 
-/// What the head of an endpoint's answer states.
+/// The facts that the head of an endpoint's answer states.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerFacts {
     /// The status.
     pub status: StatusCode,
     /// Id of the request that it answers.
     pub request_id: Option<HeaderValue>,
-    /// Id of the endpoint that gave it.
+    /// Id of the endpoint that sent it.
     pub endpoint_id: Option<String>,
     /// Whether the endpoint states that it did not run the request.
     pub not_run: bool,
-    /// Whether it carries the endpoint's signature.
+    /// Whether it has the endpoint's signature.
     pub is_signed: bool,
-    /// Requests a second that the endpoint takes from all VMs together.
+    /// Requests per second that the endpoint takes from all VMs together.
     pub limit: HeaderField<f64>,
-    /// Whether the endpoint leaves.
+    /// Whether the endpoint is departing.
     pub leaving: HeaderField<bool>,
-    /// Milliseconds for which the endpoint wants nothing from this VM; only where it turned the request away.
+    /// Backoff that the endpoint requests from this VM, in milliseconds; only with a refusal.
     pub rest_millis: HeaderField<u64>,
-    /// Version of the weights that it was made with.
+    /// Version of the weights that the answer was computed with.
     pub weights: HeaderField<u64>,
-    /// Milliseconds for which the endpoint stays cold.
+    /// Time for which the endpoint stays cold, in milliseconds.
     pub cold_millis: HeaderField<u64>,
-    /// Idle time that the endpoint grants the connection.
+    /// Idle timeout that the endpoint grants the connection.
     pub granted_idle: Option<Duration>,
-    /// Whether the endpoint ends the connection after this answer.
+    /// Whether the endpoint closes the connection after this answer.
     pub ends_connection: bool,
 }
 
-/// Whose answer a head belongs to.
+/// The endpoint and the request that an answer belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnswerOrigin {
     /// The addressed endpoint answers this request.
     Addressed,
-    /// The addressed endpoint rejects an expectation of the request, such as its version of the weights.
+    /// The addressed endpoint rejects a condition of the request, such as its version of the weights.
     Mismatch,
     /// Another endpoint has the address.
     OtherEndpoint,
@@ -142,7 +142,7 @@
 }
 
 impl AnswerFacts {
-    /// Whose answer it is, sent to `endpoint` with the request id `request`.
+    /// Returns the origin of an answer to the request with id `request`, sent to `endpoint`.
     pub(crate) fn origin(&self, endpoint: &str, request: &HeaderValue) -> AnswerOrigin {
         if self.request_id.as_ref().is_some_and(|id| id != request) {
             return AnswerOrigin::OtherRequest;
--- a/crates/gateway/src/endpoints/answer_handler.rs
+++ b/crates/gateway/src/endpoints/answer_handler.rs
@@ -1,8 +1,8 @@
-//! Applies what endpoints state of themselves in their answers, and forwards to other VMs what concerns them.
+//! Applies what endpoints state about themselves in answers, and propagates it to other VMs.
 //!
-//! Invariant: every answer of the addressed endpoint is applied, including refusals, failures and answers to orders. A limit
-//! or a rest that cannot be read changes nothing. Limits and departures go through the leads to every VM once, and are
-//! repeated, so that a lost message costs little.
+//! Invariant: every answer of the addressed endpoint is applied, including refusals, failures and answers
+//! to orders. A limit or a backoff that cannot be parsed changes nothing. Limits and departures are sent
+//! through the leaders to every VM once, and are repeated, so that a lost message costs little.
 
 use crate::gateway::Gateway;
 use crate::operators::gateway_metrics::KindLabel;
@@ -12,7 +12,7 @@
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 
 /// Limits, and departures, that a VM repeats in each sweep.
-const REPEATED_MOST: usize = 1;
+const MAX_REPEATED_PER_SWEEP: usize = 1;
 
 /// The answer that states something.
 #[derive(Clone, Copy, Debug)]
@@ -25,24 +25,25 @@
     pub sent_at: Moment,
 }
 
-/// What one endpoint stated, as far as it concerns other VMs.
+/// A statement of one endpoint that concerns other VMs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ObservedAnswer {
     /// Its limit, or the end of one.
     Limit(EndpointKey, LimitReport),
-    /// It leaves.
+    /// It is departing.
     Departure(EndpointKey),
 }
 
-/// The same in messages between VMs, with ages in place of moments, since VMs have different origins. 31 bytes at most.
+/// The same in messages between VMs, in at most 31 bytes. It contains ages in place of moments, since VMs'
+/// clocks have different origins.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum AnswerNote {
     Limit {
         key: EndpointKey,
         per_s: Option<f64>,
-        /// How long ago the request was sent, in microseconds.
+        /// Age of the request, since it was sent, in microseconds.
         sent_ago: u64,
-        /// How long ago its answer came, in microseconds.
+        /// Age of its answer, since it was received, in microseconds.
         received_ago: u64,
     },
     Departure(EndpointKey),
@@ -73,12 +74,12 @@
     }
 }
 
-/// How this VM learned of a departure.
+/// How this VM received a departure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DepartureSource {
-    /// From an answer to this VM.
+    /// In an answer to this VM.
     Answer,
-    /// From a report that this VM asked for.
+    /// In a report that this VM requested.
     Report,
     /// From another VM.
     Peer,
@@ -106,23 +107,24 @@
 }
 
 impl ForwardScope {
-    /// The scope for a digest of `scope`; `is_near` if its sender described itself to its own data centre.
-    pub(crate) fn of(scope: DigestScope, is_local: bool, is_lead: bool) -> Self {
+    /// Returns the scope for a digest of `scope`; `is_local` if its sender described itself to its own data
+    /// centre.
+    pub(crate) fn of(scope: DigestScope, is_local: bool, is_leader: bool) -> Self {
         match scope {
             DigestScope::Vm if is_local => Self::Remote,
-            DigestScope::DataCentre if is_lead => Self::Passed,
+            DigestScope::DataCentre if is_leader => Self::Passed,
             DigestScope::Vm | DigestScope::DataCentre | DigestScope::Elsewhere => Self::Nobody,
         }
     }
 }
 
 impl Gateway {
-    /// Applies what an answer of the addressed endpoint states of it.
+    /// Applies what an answer of the addressed endpoint states.
     pub(crate) fn observe_answer(&self, source: &AnswerSource<'_>, facts: &AnswerFacts) {
-        self.log_odd_headers(source, facts);
+        self.log_invalid_headers(source, facts);
         self.observe_limit(source, &facts.limit);
         self.observe_departure(source, facts);
-        self.observe_rest(source, facts);
+        self.observe_backoff(source, facts);
         self.observe_coldness(source, facts);
     }
 
@@ -136,7 +138,7 @@
         log::info!(request = source.request, endpoint, cold_ms; "endpoint.cold");
     }
 
-    /// Applies the version of a model's weights that an answer or an event told.
+    /// Applies the version of a model's weights that an answer or an event reports.
     pub(crate) fn observe_weights(&self, source: &AnswerSource<'_>, model: &str, version: u64) {
         let mut table = self.table();
         if !table.record_weights(source.key, model, version, self.now()) {
@@ -160,28 +162,29 @@
         }
     }
 
-    /// Sends what an endpoint stated to this VM to all others.
+    /// Propagates what an endpoint stated to this VM to all others.
     fn forward(&self, observed: ObservedAnswer) {
         self.near_answers.push(observed);
         self.far_answers.push(observed);
         self.loads_changed.notify_one();
     }
 
-    /// A value that cannot be read counts as a departure too: taken wrongly, it costs one endpoint its work; ignored wrongly,
-    /// callers their requests.
+    /// Records a stated departure. An invalid value counts as one, too: a false departure costs one
+    /// endpoint its work, an ignored one costs callers their requests.
     fn observe_departure(&self, source: &AnswerSource<'_>, facts: &AnswerFacts) {
-        let leaves = matches!(facts.leaving, HeaderField::Invalid(_)) || facts.leaving.value() == Some(true);
-        if leaves {
+        let is_departing =
+            matches!(facts.leaving, HeaderField::Invalid(_)) || facts.leaving.value() == Some(true);
+        if is_departing {
             self.record_departure(source, DepartureSource::Answer);
         }
     }
 
-    fn observe_rest(&self, source: &AnswerSource<'_>, facts: &AnswerFacts) {
+    fn observe_backoff(&self, source: &AnswerSource<'_>, facts: &AnswerFacts) {
         let Some(label) = facts.rest_millis.label() else { return };
         self.metrics.rests.get_or_create(&KindLabel::new(label)).inc();
         let Some(asked_ms) = facts.rest_millis.value() else { return };
         let mut table = self.table();
-        let (rest_ms, extends) = match table.record_backoff(source.key, asked_ms, self.now()) {
+        let (backoff_ms, extends) = match table.record_backoff(source.key, asked_ms, self.now()) {
             BackoffChange::None => return,
             BackoffChange::Begun(millis) => (millis, false),
             BackoffChange::Extended(millis) => (millis, true),
@@ -189,11 +192,11 @@
         let Some(row) = table.row(source.key) else { return };
         let (endpoint, born) = (row.entry.id.as_str(), row.entry.born_millis.unwrap_or_default());
         let status = facts.status.as_u16();
-        log::info!(request = source.request, endpoint, born, status, asked_ms, rest_ms, extends;
+        log::info!(request = source.request, endpoint, born, status, asked_ms, rest_ms = backoff_ms, extends;
             "endpoint.resting");
     }
 
-    /// Notes that an endpoint leaves, and forwards it if that is new.
+    /// Records that an endpoint is departing, and propagates it if that is new.
     pub(crate) fn record_departure(&self, source: &AnswerSource<'_>, origin: DepartureSource) -> bool {
         let now = self.now();
         let mut table = self.table();
@@ -213,10 +216,10 @@
     }
 
     /// Applies what endpoints stated to other VMs.
-    pub(crate) fn apply_answer_notes(&self, notes: &[AnswerNote], forward: ForwardScope) {
+    pub(crate) fn apply_answer_notes(&self, records: &[AnswerNote], forward: ForwardScope) {
         let now = self.now();
-        for note in notes {
-            let forwarded = match note.observed(now) {
+        for record in records {
+            let forwarded = match record.observed(now) {
                 ObservedAnswer::Limit(key, report) => {
                     self.metrics.limit_reports.get_or_create(&KindLabel::new("told")).inc();
                     let source = AnswerSource { key, request: "", sent_at: report.sent_at };
@@ -236,7 +239,7 @@
         }
     }
 
-    /// Applies a limit; returns what to forward.
+    /// Applies a limit; returns what to propagate.
     fn apply_limit_report(&self, source: &AnswerSource<'_>, report: LimitReport) -> Option<ObservedAnswer> {
         let (change, due) = {
             let mut table = self.table();
@@ -247,24 +250,27 @@
         due.map(|report| ObservedAnswer::Limit(source.key, report))
     }
 
-    /// Repeats current limits and departures, some in each sweep `turn`: VMs that start, or missed a message, lack them.
-    /// Departures go to other data centres too, since no answer repeats them there.
-    pub(crate) fn repeat_answers(&self, turn: usize) {
-        let (limits, departed) = {
-            let (table, first) = (self.table(), turn * REPEATED_MOST);
-            (table.rotating_limits(first, REPEATED_MOST), table.rotating_departures(first, REPEATED_MOST))
+    /// Repeats some current limits and departures in each sweep `round`, for VMs that start or missed a
+    /// message. Departures are also sent to other data centres, since no answer repeats them there.
+    pub(crate) fn repeat_answers(&self, round: usize) {
+        let (limits, departures) = {
+            let (table, first) = (self.table(), round * MAX_REPEATED_PER_SWEEP);
+            (
+                table.rotating_limits(first, MAX_REPEATED_PER_SWEEP),
+                table.rotating_departures(first, MAX_REPEATED_PER_SWEEP),
+            )
         };
         for (key, report) in limits {
             self.near_answers.push(ObservedAnswer::Limit(key, report));
         }
-        for key in departed {
+        for key in departures {
             self.near_answers.push(ObservedAnswer::Departure(key));
             self.far_answers.push(ObservedAnswer::Departure(key));
         }
     }
 
-    /// Logs each header that begins to be invalid or to have several values.
-    fn log_odd_headers(&self, source: &AnswerSource<'_>, facts: &AnswerFacts) {
+    /// Logs each header that becomes invalid or gets several values.
+    fn log_invalid_headers(&self, source: &AnswerSource<'_>, facts: &AnswerFacts) {
         let causes = [
             ("limit", facts.limit.cause("the limit")),
             ("leaving", facts.leaving.cause("the departure")),
--- a/crates/gateway/src/endpoints/end_watch.rs
+++ b/crates/gateway/src/endpoints/end_watch.rs
@@ -1,8 +1,8 @@
-//! Finds out whether an endpoint ended when connections to it broke.
+//! Detects whether an endpoint crashed when connections to it broke.
 //!
-//! Invariant: a broken connection alone says nothing of its endpoint: it may have been reset on the way. An endpoint
-//! counts as ended if its address refuses connections, if another one starts there, or if its entry goes while the store
-//! is well. What had said that it leaves was expected to end, and does not count.
+//! Invariant: a broken connection alone is no evidence of a crash: it may have been reset on the way. An
+//! endpoint counts as crashed if its address refuses connections, if another one starts there, or if its
+//! entry is removed while the store is healthy. A stop that the endpoint had announced does not count.
 
 use crate::endpoints::endpoint_pool::open_stream;
 use crate::gateway::Gateway;
@@ -15,12 +15,12 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// An address is asked a second time after this pause: a process that ends closes one socket after the other.
-const SECOND_ASK: Duration = Duration::from_millis(100);
-/// Service discovery tells of an end within this time, in milliseconds: three heartbeats of 1.2 s, and more.
-const TOLD_MILLIS: u64 = 6_000;
-/// Broken sends whose endpoints are being asked, or may be told to have ended, at most.
-const SENDS_LIMIT: usize = 1_024;
+/// Delay of the second probe of an address: a process that stops closes one socket after the other.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(100);
+/// Service discovery reports a crash within this time: three heartbeats of 1.2 s, and more.
+const DISCOVERY_TIMEOUT_MILLIS: u64 = 6_000;
+/// Broken sends whose endpoints are being probed, or may yet be reported as crashed.
+const MAX_BROKEN_SENDS: usize = 1_024;
 
 /// A send whose connection broke before its answer was whole.
 #[derive(Clone, Debug)]
@@ -28,13 +28,13 @@
     pub request: RequestKey,
     /// The caller's id of it, for logs.
     pub request_id: String,
-    /// What its endpoint's end would be.
-    pub ending: EndpointCrash,
-    /// Since the endpoint began to answer, or since the send if it had not, in microseconds.
+    /// The crash to record if its endpoint crashed.
+    pub crash: EndpointCrash,
+    /// Time since the endpoint began to answer, or since the send if it had not, in microseconds.
     pub age_micros: u64,
 }
 
-/// Where an endpoint of broken sends stood.
+/// Id and address of an endpoint with broken sends.
 #[derive(Clone, Debug)]
 pub(crate) struct BrokenEndpoint {
     pub id: String,
@@ -42,110 +42,125 @@
 }
 
 #[derive(Debug)]
-struct AskedEnd {
+struct CrashSuspicion {
     endpoint: BrokenEndpoint,
     sends: Vec<BrokenSend>,
-    /// Turns true when the address has been asked.
-    asked: watch::Sender<bool>,
-    until: Moment,
+    /// Becomes true when the address has been probed.
+    probed: watch::Sender<bool>,
+    expires_at: Moment,
 }
 
-/// Sends that broke, by endpoint, while it may turn out that it ended.
+/// Broken sends by endpoint, while it may turn out that the endpoint crashed.
 #[derive(Debug, Default)]
-pub(crate) struct EndWatch(Mutex<HashMap<EndpointKey, AskedEnd>>);
+pub(crate) struct EndWatch(Mutex<HashMap<EndpointKey, CrashSuspicion>>);
 
-/// Tells when it is known whether an endpoint's address refuses connections.
-pub(crate) type EndAnswer = watch::Receiver<bool>;
+/// Becomes true when an endpoint's address has been probed.
+pub(crate) type ProbeCompletion = watch::Receiver<bool>;
 
 impl EndWatch {
-    /// Adds a send; tells when its endpoint has been asked, and whether it is to be asked now. None if there is no room.
-    fn add(&self, endpoint: &BrokenEndpoint, send: BrokenSend, now: Moment) -> Option<(EndAnswer, bool)> {
-        let mut ends = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        ends.retain(|_, end| now < end.until);
-        if ends.values().map(|end| end.sends.len()).sum::<usize>() >= SENDS_LIMIT {
+    /// Adds a send. Returns the completion of its endpoint's probe, and whether to probe it now; none if
+    /// there is no free space.
+    fn add(
+        &self,
+        endpoint: &BrokenEndpoint,
+        send: BrokenSend,
+        now: Moment,
+    ) -> Option<(ProbeCompletion, bool)> {
+        let mut suspicions = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        suspicions.retain(|_, suspicion| now < suspicion.expires_at);
+        if suspicions.values().map(|suspicion| suspicion.sends.len()).sum::<usize>() >= MAX_BROKEN_SENDS {
             return None;
         }
         let mut is_new = false;
-        let end = ends.entry(send.ending.start).or_insert_with(|| {
+        let suspicion = suspicions.entry(send.crash.start).or_insert_with(|| {
             is_new = true;
-            let (endpoint, asked) = (endpoint.clone(), watch::channel(false).0);
-            AskedEnd { endpoint, sends: Vec::new(), asked, until: Moment(0) }
+            let (endpoint, probed) = (endpoint.clone(), watch::channel(false).0);
+            CrashSuspicion { endpoint, sends: Vec::new(), probed, expires_at: Moment(0) }
         });
-        end.until = now.after_millis(TOLD_MILLIS);
-        end.sends.push(send);
-        // An endpoint that was asked and lives is asked again: it may have ended since.
-        let is_due = is_new || end.asked.send_replace(false);
-        Some((end.asked.subscribe(), is_due))
+        suspicion.expires_at = now.after_millis(DISCOVERY_TIMEOUT_MILLIS);
+        suspicion.sends.push(send);
+        // An endpoint that was found alive is probed again: it may have crashed since.
+        let is_due = is_new || suspicion.probed.send_replace(false);
+        Some((suspicion.probed.subscribe(), is_due))
     }
 
-    fn note_alive(&self, endpoint: EndpointKey) {
-        let ends = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(end) = ends.get(&endpoint) {
-            end.asked.send_replace(true);
+    fn record_alive(&self, endpoint: EndpointKey) {
+        let suspicions = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(suspicion) = suspicions.get(&endpoint) {
+            suspicion.probed.send_replace(true);
         }
     }
 
-    /// Takes the sends of an endpoint that ended; none that broke too long before, when it may have lived on.
-    fn take(&self, endpoint: EndpointKey, now: Moment) -> Option<AskedEnd> {
-        let end = self.0.lock().unwrap_or_else(PoisonError::into_inner).remove(&endpoint);
-        end.filter(|end| now < end.until)
+    /// Removes the sends of a crashed endpoint; none that broke too long before, when it may have survived.
+    fn take(&self, endpoint: EndpointKey, now: Moment) -> Option<CrashSuspicion> {
+        let suspicion = self.0.lock().unwrap_or_else(PoisonError::into_inner).remove(&endpoint);
+        suspicion.filter(|suspicion| now < suspicion.expires_at)
     }
 
-    /// Endpoints of broken sends that stood at `address`.
-    fn at(&self, address: SocketAddr) -> Vec<EndpointKey> {
-        let ends = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        ends.iter().filter(|(_, end)| end.endpoint.address == address).map(|(key, _)| *key).collect()
+    /// Returns the endpoints of broken sends that had `address`.
+    fn endpoints_at(&self, address: SocketAddr) -> Vec<EndpointKey> {
+        let suspicions = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        suspicions
+            .iter()
+            .filter(|(_, suspicion)| suspicion.endpoint.address == address)
+            .map(|(key, _)| *key)
+            .collect()
     }
 }
 
 impl Gateway {
-    /// Notes that a send broke, and finds out from a task of its own whether its endpoint ended; tells when it has been
-    /// asked.
-    pub(crate) fn note_broken(
+    /// Records a broken send, and probes its endpoint from a task of its own. Returns the completion of the
+    /// probe.
+    pub(crate) fn record_broken_send(
         self: &Arc<Self>,
         endpoint: &BrokenEndpoint,
         send: BrokenSend,
-    ) -> Option<EndAnswer> {
-        let key = send.ending.start;
-        let (answer, is_due) = self.ends.add(endpoint, send, self.now())?;
+    ) -> Option<ProbeCompletion> {
+        let key = send.crash.start;
+        let (completion, is_due) = self.ends.add(endpoint, send, self.now())?;
         if is_due {
-            tokio::spawn(ask(Arc::clone(self), key, endpoint.address));
+            tokio::spawn(probe(Arc::clone(self), key, endpoint.address));
         }
-        Some(answer)
+        Some(completion)
     }
 
-    /// Takes that an endpoint has ended, as `sign` shows: what it had is evidence.
+    /// Records that an endpoint crashed, as `sign` shows: its broken sends are evidence.
     pub(crate) fn record_ended(&self, endpoint: EndpointKey, sign: &'static str) {
-        let Some(end) = self.ends.take(endpoint, self.now()) else { return };
-        log::warn!(endpoint = end.endpoint.id.as_str(), sends = end.sends.len(), sign; "endpoint.ended");
-        for send in &end.sends {
-            let BrokenSend { request, ending, age_micros, .. } = *send;
-            self.take_own_report(&CrashReport { request, ending, age_micros }, send, &end.endpoint.id);
+        let Some(suspicion) = self.ends.take(endpoint, self.now()) else { return };
+        log::warn!(endpoint = suspicion.endpoint.id.as_str(), sends = suspicion.sends.len(), sign;
+            "endpoint.ended");
+        for send in &suspicion.sends {
+            let BrokenSend { request, crash, age_micros, .. } = *send;
+            self.take_own_report(
+                &CrashReport { request, ending: crash, age_micros },
+                send,
+                &suspicion.endpoint.id,
+            );
         }
-        end.asked.send_replace(true);
+        suspicion.probed.send_replace(true);
     }
 
-    /// Takes that an endpoint, not `started`, stood at an address where `started` begins now.
+    /// Records that `started` begins at an address, so that any other endpoint there has crashed.
     pub(crate) fn note_started_at(&self, address: SocketAddr, started: EndpointKey) {
-        for endpoint in self.ends.at(address).into_iter().filter(|endpoint| *endpoint != started) {
+        for endpoint in self.ends.endpoints_at(address).into_iter().filter(|endpoint| *endpoint != started) {
             self.record_ended(endpoint, "another one has its address");
         }
     }
 }
 
-async fn ask(gateway: Arc<Gateway>, endpoint: EndpointKey, address: SocketAddr) {
-    for pause in [Duration::ZERO, SECOND_ASK] {
-        tokio::time::sleep(pause).await;
-        let asked = open_stream(address).await;
-        if asked.is_err_and(|error| error.kind() == io::ErrorKind::ConnectionRefused) {
+async fn probe(gateway: Arc<Gateway>, endpoint: EndpointKey, address: SocketAddr) {
+    for delay in [Duration::ZERO, SECOND_PROBE_DELAY] {
+        tokio::time::sleep(delay).await;
+        let stream = open_stream(address).await;
+        if stream.is_err_and(|error| error.kind() == io::ErrorKind::ConnectionRefused) {
             gateway.record_ended(endpoint, "it refuses connections");
             return;
         }
     }
-    gateway.ends.note_alive(endpoint);
+    gateway.ends.record_alive(endpoint);
 }
 
-/// An age for logs.
+/// Converts microseconds to milliseconds, for logs.
 pub(crate) const fn millis(micros: u64) -> u64 {
     micros / MICROS_PER_MILLI
 }
--- a/crates/gateway/src/endpoints/endpoint_pool.rs
+++ b/crates/gateway/src/endpoints/endpoint_pool.rs
@@ -1,11 +1,11 @@
-//! Connections to endpoints, kept between requests.
+//! Connections to endpoints, pooled between requests.
 //!
-//! Invariant: a connection serves one request at a time and goes back only after a whole answer to a
-//! request that went out whole; whoever drops it in between cuts it, which is how an endpoint learns that its work is not
-//! wanted any more. The latest used connection is taken first, so that spare ones grow old.
+//! Invariant: a connection serves one request at a time and is returned only after a whole answer to a
+//! request that was sent whole. Dropping it earlier closes it, which makes the endpoint stop the work. The
+//! most recently used connection is taken first, so that spare ones expire.
 
 use crate::EndpointKey;
-use crate::requests::outgoing_body::{BodyMark, OutgoingBody, WRITE_BUFFER_BYTES};
+use crate::requests::outgoing_body::{BodyProgress, OutgoingBody, WRITE_BUFFER_BYTES};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, Response};
@@ -19,21 +19,21 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// A connection that does not come up by then has failed: some twenty round trips.
+/// Timeout of a connection attempt: some twenty round trips.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Bytes that stay unacknowledged for longer mean a dead peer or a cut link: several
-/// retransmissions fit, and a caller of a short objective can still be told.
+/// Bytes that stay unacknowledged for longer indicate a dead peer or a cut link: several retransmissions
+/// fit, and a caller with a short objective can still be answered.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(900);
-/// Pause before the first keep-alive probe and between probes.
-const PROBE_PAUSE: Duration = Duration::from_secs(1);
-/// Idle connections are used for this long if the endpoint names no time of its own.
-const IDLE_DEFAULT: Duration = Duration::from_secs(4);
-/// A connection is not used in the last part of the time that the endpoint grants it.
-const IDLE_MARGIN: Duration = Duration::from_secs(1);
+/// Delay before the first keep-alive probe and between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Idle timeout if the endpoint states none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Subtracted from a granted idle timeout, so that a connection is not used near its end.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 /// Idle connections kept for one endpoint.
-const IDLE_MOST: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
-/// Why an exchange with an endpoint brought no answer.
+/// Why an exchange with an endpoint yielded no answer.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ExchangeError {
     /// No byte of the request left this process.
@@ -42,21 +42,21 @@
     /// The request was sent; it may have run.
     #[error("no answer: {0}")]
     Lost(String),
-    /// No byte of the request left this process: meanwhile the endpoint takes none.
+    /// No byte of the request left this process: the endpoint stopped taking requests meanwhile.
     #[error("withdrawn before it was sent")]
     Withdrawn,
 }
 
-/// One connection to an endpoint. Dropping it cuts it.
+/// One connection to an endpoint. Dropping it closes it.
 #[derive(Debug)]
 pub(crate) struct EndpointConnection {
     sender: SendRequest<OutgoingBody>,
     driver: AbortHandle,
-    fresh: bool,
-    /// Whether it waits for an endpoint that reads late; for one long body only.
-    is_patient: bool,
-    /// How far the body of its present request went.
-    body: BodyMark,
+    is_new: bool,
+    /// Whether it waits for an endpoint that reads slowly; for one long body only.
+    has_long_body: bool,
+    /// Progress of its current request's body.
+    progress: BodyProgress,
 }
 
 impl Drop for EndpointConnection {
@@ -78,11 +78,11 @@
 }
 
 impl EndpointPool {
-    /// Sends `request` over a kept or a new connection; gives the answer's head.
+    /// Sends `request` over a pooled or a new connection; returns the answer's head.
     ///
-    /// A kept connection that turns out to be closed before a byte was written is replaced. A long body
-    /// has a connection of its own. `may_send` is asked right before the first byte: what was learned while a connection was
-    /// opened counts.
+    /// A pooled connection that is found closed before a byte was written is replaced. A long body has a
+    /// connection of its own. `may_send` is called right before the first byte, so that changes during
+    /// connection set-up count.
     pub(crate) async fn exchange(
         &self,
         key: EndpointKey,
@@ -92,13 +92,13 @@
     ) -> Result<(Response<Incoming>, EndpointConnection), ExchangeError> {
         loop {
             let is_long = request.body().is_long();
-            let kept = if is_long { None } else { self.take(key) };
-            let mut connection = match kept {
+            let pooled = if is_long { None } else { self.take(key) };
+            let mut connection = match pooled {
                 Some(connection) => connection,
                 None => connect(address, is_long).await?,
             };
             if let Err(error) = connection.sender.ready().await {
-                if connection.fresh {
+                if connection.is_new {
                     return Err(ExchangeError::NotSent(error.to_string()));
                 }
                 continue;
@@ -106,11 +106,11 @@
             if !may_send() {
                 return Err(ExchangeError::Withdrawn);
             }
-            connection.body = request.body().mark();
+            connection.progress = request.body().progress();
             match connection.sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, connection)),
                 Err(mut error) => match error.take_message() {
-                    Some(unsent) if !connection.fresh => request = unsent,
+                    Some(unsent) if !connection.is_new => request = unsent,
                     Some(_) => return Err(ExchangeError::NotSent(error.error().to_string())),
                     None => return Err(ExchangeError::Lost(error.error().to_string())),
                 },
@@ -118,65 +118,67 @@
         }
     }
 
-    /// Keeps a connection whose answer was whole, for as long as its endpoint grants.
-    pub(crate) fn give_back(
+    /// Returns a connection to the pool after a whole answer, for as long as its endpoint grants.
+    pub(crate) fn return_connection(
         &self,
         key: EndpointKey,
         mut connection: EndpointConnection,
         granted: Option<Duration>,
     ) {
-        let rest = granted.map_or(IDLE_DEFAULT, |time| time.saturating_sub(IDLE_MARGIN).min(IDLE_DEFAULT));
-        let is_spent = connection.is_patient || !connection.body.is_handed_on();
-        if connection.sender.is_closed() || rest.is_zero() || is_spent {
+        let idle_timeout = granted.map_or(DEFAULT_IDLE_TIMEOUT, |timeout| {
+            timeout.saturating_sub(IDLE_TIMEOUT_MARGIN).min(DEFAULT_IDLE_TIMEOUT)
+        });
+        let is_unusable = connection.has_long_body || !connection.progress.is_consumed();
+        if connection.sender.is_closed() || idle_timeout.is_zero() || is_unusable {
             return;
         }
-        connection.fresh = false;
+        connection.is_new = false;
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle.entry(key).or_default();
-        if kept.len() < IDLE_MOST {
-            kept.push(IdleConnection { connection, usable_until: Instant::now() + rest });
+        let connections = idle.entry(key).or_default();
+        if connections.len() < MAX_IDLE_CONNECTIONS {
+            connections.push(IdleConnection { connection, usable_until: Instant::now() + idle_timeout });
         }
     }
 
-    /// Cuts all idle connections to an endpoint that is gone.
+    /// Closes all idle connections to an endpoint that is gone.
     pub(crate) fn forget(&self, key: EndpointKey) {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).remove(&key);
     }
 
-    /// Cuts all idle connections: their endpoints may have closed them long ago.
+    /// Closes all idle connections: their endpoints may have closed them long ago.
     pub(crate) fn forget_all(&self) {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).clear();
     }
 
-    /// Cuts idle connections whose time is over.
+    /// Closes expired idle connections.
     pub(crate) fn sweep(&self) {
         let now = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        for kept in idle.values_mut() {
-            kept.retain(|row| now < row.usable_until && !row.connection.sender.is_closed());
+        for connections in idle.values_mut() {
+            connections.retain(|entry| now < entry.usable_until && !entry.connection.sender.is_closed());
         }
-        idle.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
     fn take(&self, key: EndpointKey) -> Option<EndpointConnection> {
         let now = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle.get_mut(&key)?;
-        while let Some(row) = kept.pop() {
-            if now < row.usable_until && !row.connection.sender.is_closed() {
-                return Some(row.connection);
+        let connections = idle.get_mut(&key)?;
+        while let Some(entry) = connections.pop() {
+            if now < entry.usable_until && !entry.connection.sender.is_closed() {
+                return Some(entry.connection);
             }
         }
         None
     }
 }
 
-async fn connect(address: SocketAddr, is_patient: bool) -> Result<EndpointConnection, ExchangeError> {
+async fn connect(address: SocketAddr, has_long_body: bool) -> Result<EndpointConnection, ExchangeError> {
     let not_sent = |error: io::Error| ExchangeError::NotSent(error.to_string());
     let stream = open_stream(address).await.map_err(not_sent)?;
-    if is_patient {
-        // An endpoint whose window is full is cut at this time although it acknowledges each probe. How
-        // long a body may take is for the request's own patience to say.
+    if has_long_body {
+        // With this timeout an endpoint with a full receive window is disconnected although it acknowledges
+        // each probe. How long a body may take is decided by the request's own deadline.
         SockRef::from(&stream).set_tcp_user_timeout(None).map_err(not_sent)?;
     }
     let (sender, connection) = http1::Builder::new()
@@ -184,12 +186,12 @@
         .handshake(TokioIo::new(stream))
         .await
         .map_err(|error| ExchangeError::NotSent(error.to_string()))?;
-    // How the connection ends is told by the exchange that uses it.
+    // The exchange that uses the connection reports its result.
     let driver = tokio::spawn(async move { drop(connection.await) }).abort_handle();
-    Ok(EndpointConnection { sender, driver, fresh: true, is_patient, body: BodyMark::default() })
+    Ok(EndpointConnection { sender, driver, is_new: true, has_long_body, progress: BodyProgress::default() })
 }
 
-/// Opens a TCP connection that notices a silent peer by itself.
+/// Opens a TCP connection that detects an unreachable peer by itself.
 pub(crate) async fn open_stream(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
@@ -197,7 +199,7 @@
     stream.set_nodelay(true)?;
     let socket = SockRef::from(&stream);
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
-    let probes = TcpKeepalive::new().with_time(PROBE_PAUSE).with_interval(PROBE_PAUSE);
-    socket.set_tcp_keepalive(&probes)?;
+    let keepalive = TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
+    socket.set_tcp_keepalive(&keepalive)?;
     Ok(stream)
 }
--- a/crates/gateway/src/endpoints/mod.rs
+++ b/crates/gateway/src/endpoints/mod.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves, and the connections to them.
+//! Facts that endpoints state about themselves, and the connections to them.
 
 pub(crate) mod answer_facts;
 pub(crate) mod answer_handler;
--- a/crates/gateway/src/memory/held_body.rs
+++ b/crates/gateway/src/memory/body_reader.rs
@@ -1,6 +1,6 @@
-//! Reads a caller's body within the bound on what is held.
+//! Reads a caller's body within the bound on buffered bytes.
 
-use super::HeldGuard;
+use super::MemoryReservation;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -12,36 +12,36 @@
     TooLong,
     /// Its connection broke.
     Broken,
-    /// It held more than any other when memory ran out.
+    /// Its reservation was the largest when memory ran out.
     NoMemory,
 }
 
-/// Reads a whole body of `most` bytes at most, and counts it as held by `guard`.
-pub(crate) async fn read_held(
+/// Reads a whole body of at most `max_bytes`, and counts it in `reservation`.
+pub(crate) async fn read_limited(
     mut body: Incoming,
-    most: usize,
-    guard: &HeldGuard,
+    max_bytes: usize,
+    reservation: &MemoryReservation,
 ) -> Result<Bytes, BodyFault> {
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(BodyFault::TooLong);
     }
     let mut content = BytesMut::new();
     loop {
         let frame = tokio::select! {
             frame = body.frame() => frame,
-            () = guard.until_ended() => return Err(BodyFault::NoMemory),
+            () = reservation.until_evicted() => return Err(BodyFault::NoMemory),
         };
         let Some(frame) = frame else { break };
-        let Ok(piece) = frame.map_err(|_error| BodyFault::Broken)?.into_data() else { continue };
-        if content.len() + piece.len() > most {
+        let Ok(chunk) = frame.map_err(|_error| BodyFault::Broken)?.into_data() else { continue };
+        if content.len() + chunk.len() > max_bytes {
             return Err(BodyFault::TooLong);
         }
-        guard.grow(piece.len());
-        if guard.is_ended() {
+        reservation.grow(chunk.len());
+        if reservation.is_evicted() {
             return Err(BodyFault::NoMemory);
         }
-        content.extend_from_slice(&piece);
+        content.extend_from_slice(&chunk);
     }
-    guard.settle();
+    reservation.disable_eviction();
     Ok(content.freeze())
 }
--- a/crates/gateway/src/memory/chunk_channel.rs
+++ b/crates/gateway/src/memory/chunk_channel.rs
@@ -1,9 +1,10 @@
-//! Pieces of an answer on their way to a caller.
+//! Chunks of an answer on their way to a caller.
 //!
-//! Invariant: what waits for a caller that reads slowly stays within [`BYTES_WAITING`], but for one piece that is larger;
-//! beyond it the endpoint is held up, and only this one, since each answer has a connection of its own.
+//! Invariant: bytes buffered for a slow caller stay within [`MAX_WAITING_BYTES`], except for one chunk that
+//! is larger. Beyond that the endpoint is blocked, and only this one, since each answer has a connection of
+//! its own.
 
-use super::HeldGuard;
+use super::MemoryReservation;
 use crate::requests::own_answer::BrokenAnswer;
 use bytes::Bytes;
 use futures_core::Stream;
@@ -13,92 +14,95 @@
 use std::task::{Context, Poll};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 
-/// Pieces that wait for a caller.
-const PIECES_WAITING: usize = 32;
-/// Bytes that wait for a caller.
-const BYTES_WAITING: usize = 64 << 10;
+/// Chunks buffered for a caller.
+const MAX_WAITING_CHUNKS: usize = 32;
+/// Bytes buffered for a caller.
+const MAX_WAITING_BYTES: usize = 64 << 10;
 
-/// A piece of an answer, or why it broke off.
-type Piece = Result<Frame<Bytes>, BrokenAnswer>;
+/// A chunk of an answer, or why it was aborted.
+type Chunk = Result<Frame<Bytes>, BrokenAnswer>;
 
-/// A piece that waits, and the room that it takes.
-struct WaitingPiece {
-    piece: Piece,
+/// A buffered chunk, and its permit for the bytes that it takes.
+struct WaitingChunk {
+    chunk: Chunk,
     bytes: usize,
-    _room: Option<OwnedSemaphorePermit>,
+    _permit: Option<OwnedSemaphorePermit>,
 }
 
-/// Why a piece was not handed on.
+/// Why a chunk was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PieceFault {
+pub(crate) enum ChunkFault {
     /// The caller is gone.
     CallerLeft,
-    /// The caller had most waiting when memory ran out.
+    /// The caller's reservation was the largest when memory ran out.
     NoMemory,
 }
 
-/// Hands pieces on.
-pub(crate) struct PieceSender {
-    pieces: mpsc::Sender<WaitingPiece>,
-    room: Arc<Semaphore>,
-    held: Arc<HeldGuard>,
+/// The sending half of a chunk channel.
+pub(crate) struct ChunkSender {
+    chunks: mpsc::Sender<WaitingChunk>,
+    free_bytes: Arc<Semaphore>,
+    reservation: Arc<MemoryReservation>,
 }
 
-/// The pieces of one answer, as a stream that hyper reads.
-pub(crate) struct PieceStream {
-    pieces: mpsc::Receiver<WaitingPiece>,
-    held: Arc<HeldGuard>,
+/// The chunks of one answer, as a stream that hyper reads.
+pub(crate) struct ChunkStream {
+    chunks: mpsc::Receiver<WaitingChunk>,
+    reservation: Arc<MemoryReservation>,
 }
 
-/// A way to one caller, whose waiting bytes `held` counts.
-pub(crate) fn piece_channel(held: HeldGuard) -> (PieceSender, PieceStream) {
-    let (sender, pieces) = mpsc::channel(PIECES_WAITING);
-    let held = Arc::new(held);
-    let room = Arc::new(Semaphore::new(BYTES_WAITING));
-    (PieceSender { pieces: sender, room, held: Arc::clone(&held) }, PieceStream { pieces, held })
+/// Creates a channel to one caller, whose buffered bytes are counted in `reservation`.
+pub(crate) fn chunk_channel(reservation: MemoryReservation) -> (ChunkSender, ChunkStream) {
+    let (sender, chunks) = mpsc::channel(MAX_WAITING_CHUNKS);
+    let reservation = Arc::new(reservation);
+    let free_bytes = Arc::new(Semaphore::new(MAX_WAITING_BYTES));
+    (
+        ChunkSender { chunks: sender, free_bytes, reservation: Arc::clone(&reservation) },
+        ChunkStream { chunks, reservation },
+    )
 }
 
-impl PieceSender {
-    /// Hands a piece on, once there is room for it.
-    pub(crate) async fn send(&self, content: Bytes) -> Result<(), PieceFault> {
+impl ChunkSender {
+    /// Sends a chunk, once there is free space for it.
+    pub(crate) async fn send(&self, content: Bytes) -> Result<(), ChunkFault> {
         let bytes = content.len();
-        let wanted = bytes.min(BYTES_WAITING) as u32;
-        let room = tokio::select! {
+        let permit_count = bytes.min(MAX_WAITING_BYTES) as u32;
+        let permit = tokio::select! {
             biased;
-            room = Arc::clone(&self.room).acquire_many_owned(wanted) => room.ok(),
-            () = self.pieces.closed() => return Err(PieceFault::CallerLeft),
-            () = self.held.until_ended() => return Err(PieceFault::NoMemory),
+            permit = Arc::clone(&self.free_bytes).acquire_many_owned(permit_count) => permit.ok(),
+            () = self.chunks.closed() => return Err(ChunkFault::CallerLeft),
+            () = self.reservation.until_evicted() => return Err(ChunkFault::NoMemory),
         };
-        self.held.grow(bytes);
-        let waiting = WaitingPiece { piece: Ok(Frame::data(content)), bytes, _room: room };
+        self.reservation.grow(bytes);
+        let waiting = WaitingChunk { chunk: Ok(Frame::data(content)), bytes, _permit: permit };
         tokio::select! {
             biased;
-            sent = self.pieces.send(waiting) => sent.map_err(|_gone| PieceFault::CallerLeft),
-            () = self.held.until_ended() => Err(PieceFault::NoMemory),
+            sent = self.chunks.send(waiting) => sent.map_err(|_gone| ChunkFault::CallerLeft),
+            () = self.reservation.until_evicted() => Err(ChunkFault::NoMemory),
         }
     }
 
-    /// Breaks the answer off. If the caller is gone, there is nobody to tell.
-    pub(crate) async fn break_off(&self, broken: BrokenAnswer) {
-        let waiting = WaitingPiece { piece: Err(broken), bytes: 0, _room: None };
-        let _ = self.pieces.send(waiting).await;
+    /// Aborts the answer. If the caller is gone, no one receives the error.
+    pub(crate) async fn abort(&self, broken: BrokenAnswer) {
+        let waiting = WaitingChunk { chunk: Err(broken), bytes: 0, _permit: None };
+        let _ = self.chunks.send(waiting).await;
     }
 
     /// Returns once the caller is gone.
     pub(crate) async fn closed(&self) {
-        self.pieces.closed().await;
+        self.chunks.closed().await;
     }
 }
 
-impl Stream for PieceStream {
-    type Item = Piece;
+impl Stream for ChunkStream {
+    type Item = Chunk;
 
-    fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Piece>> {
-        let next = self.pieces.poll_recv(context);
+    fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Chunk>> {
+        let next = self.chunks.poll_recv(context);
         next.map(|waiting| {
             waiting.map(|waiting| {
-                self.held.shrink(waiting.bytes);
-                waiting.piece
+                self.reservation.shrink(waiting.bytes);
+                waiting.chunk
             })
         })
     }
--- a/crates/gateway/src/memory/mod.rs
+++ b/crates/gateway/src/memory/mod.rs
@@ -1,9 +1,9 @@
-//! Memory that this VM holds for callers that send or read slowly.
+//! Memory that buffers data of callers that send or read slowly.
 
+mod body_reader;
 mod chunk_channel;
-mod held_body;
-mod memory_desk;
+mod memory_limiter;
 
-pub(crate) use chunk_channel::{PieceFault, PieceSender, piece_channel};
-pub(crate) use held_body::{BodyFault, read_held};
-pub(crate) use memory_desk::{HeldGuard, MemoryDesk};
+pub(crate) use body_reader::{BodyFault, read_limited};
+pub(crate) use chunk_channel::{ChunkFault, ChunkSender, chunk_channel};
+pub(crate) use memory_limiter::{MemoryDesk, MemoryReservation};
--- a/crates/gateway/src/requests/event_reader.rs
+++ b/crates/gateway/src/requests/event_reader.rs
@@ -1,18 +1,18 @@
-//! Whole events out of an engine's stream.
+//! Extracts whole events from an engine's stream.
 //!
-//! Invariant: only whole events come out, in order, each byte once. What an engine had begun when
-//! its stream broke is dropped, so that another engine may go on after the last whole one.
+//! Invariant: only whole events are returned, in order, each byte once. An event that was incomplete when
+//! its stream broke is dropped, so that another engine can resume after the last whole one.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Body;
 
-/// Longest event that is read, in bytes; a longer one is a fault of its engine.
-const EVENT_MOST: usize = 1 << 20;
-/// Names the field that carries an event's id.
+/// Longest event that is read; a longer one is a fault of its engine.
+const MAX_EVENT_BYTES: usize = 1 << 20;
+/// Prefix of the line that contains an event's id.
 const ID_FIELD: &[u8] = b"id:";
 
-/// Why no more events come.
+/// Why no more events can be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EventError {
     /// The stream broke.
@@ -22,11 +22,11 @@
     #[error("the stream ended within an event")]
     Partial,
     /// An event is too long.
-    #[error("an event is longer than {EVENT_MOST} bytes")]
+    #[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
     TooLong,
 }
 
-/// Cuts a body into whole events.
+/// Splits a body into whole events.
 #[derive(Debug)]
 pub struct EventReader<B> {
     body: B,
@@ -45,29 +45,29 @@
         Self { body, buffer: BytesMut::new(), scanned: 0, last_id: None }
     }
 
-    /// Reads events from a `body` that goes on after the event `last_id`.
+    /// Reads events from a `body` that resumes after the event `last_id`.
     pub fn after(body: B, last_id: Bytes) -> Self {
         Self { last_id: Some(last_id), ..Self::new(body) }
     }
 
-    /// Id of the last whole event that came out.
+    /// Id of the last whole event that was returned.
     pub fn last_id(&self) -> Option<&Bytes> {
         self.last_id.as_ref()
     }
 
-    /// All whole events that have arrived, at least one; none at the stream's end.
+    /// Returns all whole events that have arrived, at least one; none at the stream's end.
     ///
     /// # Errors
-    /// If the stream broke, ended within an event, or holds too long an event.
+    /// If the stream broke, ended within an event, or contains too long an event.
     pub async fn next(&mut self) -> Result<Option<Bytes>, EventError> {
         loop {
-            if let Some(end) = self.whole_end() {
+            if let Some(end) = self.last_event_end() {
                 let events = self.buffer.split_to(end).freeze();
                 self.scanned = 0;
-                self.note_id(&events);
+                self.record_id(&events);
                 return Ok(Some(events));
             }
-            if self.buffer.len() > EVENT_MOST {
+            if self.buffer.len() > MAX_EVENT_BYTES {
                 return Err(EventError::TooLong);
             }
             match self.body.frame().await {
@@ -83,18 +83,18 @@
         }
     }
 
-    /// Where the last whole event in the buffer ends.
-    fn whole_end(&mut self) -> Option<usize> {
-        // An end may straddle two reads: look again at the last bytes seen.
+    /// Returns the offset after the last whole event in the buffer.
+    fn last_event_end(&mut self) -> Option<usize> {
+        // An event's end may be split over two frames, so the last three bytes are scanned again.
         let from = self.scanned.saturating_sub(3);
         let bytes = &self.buffer[from..];
-        let plain = bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|at| from + at + 2);
-        let returns = bytes.windows(4).rposition(|four| four == b"\r\n\r\n").map(|at| from + at + 4);
+        let line_feed = bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|at| from + at + 2);
+        let carriage_return = bytes.windows(4).rposition(|four| four == b"\r\n\r\n").map(|at| from + at + 4);
         self.scanned = self.buffer.len();
-        plain.max(returns)
+        line_feed.max(carriage_return)
     }
 
-    fn note_id(&mut self, events: &Bytes) {
+    fn record_id(&mut self, events: &Bytes) {
         let mut lines = events.split(|byte| *byte == b'\n');
         if let Some(line) = lines.rfind(|line| line.starts_with(ID_FIELD)) {
             self.last_id = Some(Bytes::copy_from_slice(line[ID_FIELD.len()..].trim_ascii()));
--- a/crates/gateway/src/requests/long_answer.rs
+++ b/crates/gateway/src/requests/long_answer.rs
@@ -1,11 +1,11 @@
-//! Passes on an answer that is too long to be kept here whole.
+//! Forwards an answer that is too long to be buffered here whole.
 //!
-//! Invariant: its beginning is out before its end is known, so it is not asked for again. One that
-//! breaks is broken off visibly: it never looks complete.
+//! Invariant: its beginning is sent before its end is known, so the request is not repeated. An answer that
+//! breaks is visibly aborted: it never looks complete.
 
 use crate::SendOutcome;
 use crate::clock::TimeIsUp;
-use crate::memory::{PieceFault, PieceSender, piece_channel};
+use crate::memory::{ChunkFault, ChunkSender, chunk_channel};
 use crate::requests::dispatch::ReceivedHead;
 use crate::requests::flight::SendFlight;
 use crate::requests::own_answer::{AnswerBody, BrokenAnswer};
@@ -18,81 +18,81 @@
 use hyper::header::CONTENT_LENGTH;
 use std::sync::Arc;
 
-/// Answers with what has `begun`, and passes the rest on from a task of its own.
-pub(crate) async fn pass_on_long(
+/// Answers with the `prefix` bytes and forwards the others from a task of its own.
+pub(crate) async fn forward_long(
     mut run: RequestRun,
     received: ReceivedHead,
-    begun: Bytes,
+    prefix: Bytes,
 ) -> Response<AnswerBody> {
     let ReceivedHead { head, body, mut flight } = received;
-    flight.begin();
-    run.note_first();
+    flight.record_answer_start();
+    run.record_first_event();
     run.set_status(head.status.as_u16());
-    run.end("broken off");
-    let (pieces, waiting) = piece_channel(run.gateway.memory.begin());
-    // The channel is empty and its receiver stands: this fails only for want of memory, as the next one will.
-    let _ = pieces.send(begun).await;
-    let mut response = answer_with(&head, StreamBody::new(waiting).boxed_unsync());
+    run.set_outcome("broken off");
+    let (chunks, stream) = chunk_channel(run.gateway.memory.reserve());
+    // The channel is empty and its receiver exists: only lack of memory fails it, and the next send, too.
+    let _ = chunks.send(prefix).await;
+    let mut response = answer_with(&head, StreamBody::new(stream).boxed_unsync());
     if let Some(length) = head.headers.get(CONTENT_LENGTH) {
         response.headers_mut().insert(CONTENT_LENGTH, length.clone());
     }
-    tokio::spawn(LongPump { run, flight, body, pieces }.pass_on());
+    tokio::spawn(LongForwarder { run, flight, body, chunks }.forward());
     response
 }
 
-struct LongPump {
+struct LongForwarder {
     run: RequestRun,
     flight: SendFlight,
     body: Incoming,
-    pieces: PieceSender,
+    chunks: ChunkSender,
 }
 
-impl LongPump {
-    async fn pass_on(mut self) {
-        let (gateway, limit) = (Arc::clone(&self.run.gateway), self.run.ticket.limit);
-        let broken = match gateway.within(limit, self.pass_rest()).await {
-            Ok(Ok(outcome)) => return self.run.end(outcome),
+impl LongForwarder {
+    async fn forward(mut self) {
+        let (gateway, deadline) = (Arc::clone(&self.run.gateway), self.run.context.deadline);
+        let broken = match gateway.within(deadline, self.forward_body()).await {
+            Ok(Ok(outcome)) => return self.run.set_outcome(outcome),
             Ok(Err(broken)) => broken,
             Err(TimeIsUp) => {
-                self.run.end("answer out of time");
+                self.run.set_outcome("answer out of time");
                 BrokenAnswer("no end in time".to_owned())
             }
         };
-        self.flight.cut();
-        self.pieces.break_off(broken).await;
+        self.flight.abort();
+        self.chunks.abort(broken).await;
     }
 
-    /// Passes on what follows; tells how the request ended.
-    async fn pass_rest(&mut self) -> Result<&'static str, BrokenAnswer> {
+    /// Forwards the remaining body; returns the request's outcome.
+    async fn forward_body(&mut self) -> Result<&'static str, BrokenAnswer> {
         loop {
             let next = tokio::select! {
                 biased;
                 next = self.body.frame() => next,
-                () = self.pieces.closed() => return Ok("caller left"),
+                () = self.chunks.closed() => return Ok("caller left"),
             };
             match next {
                 None => break,
                 Some(Ok(frame)) => {
-                    let Ok(piece) = frame.into_data() else { continue };
-                    match self.pieces.send(piece).await {
+                    let Ok(chunk) = frame.into_data() else { continue };
+                    match self.chunks.send(chunk).await {
                         Ok(()) => {}
-                        Err(PieceFault::CallerLeft) => return Ok("caller left"),
-                        Err(PieceFault::NoMemory) => {
+                        Err(ChunkFault::CallerLeft) => return Ok("caller left"),
+                        Err(ChunkFault::NoMemory) => {
                             self.run.end_for_memory();
                             return Err(BrokenAnswer("no memory for what waits".to_owned()));
                         }
                     }
                 }
                 Some(Err(error)) => {
-                    self.flight.learn(SendOutcome::Broken);
-                    self.run.note_broken(&self.flight);
-                    log::warn!(request = self.run.ticket.id_text(), endpoint = self.flight.endpoint.as_str(),
+                    self.flight.record_outcome(SendOutcome::Broken);
+                    self.run.record_broken(&self.flight);
+                    log::warn!(request = self.run.context.id_text(), endpoint = self.flight.endpoint.as_str(),
                         cause:% = error; "answer.broke");
                     return Err(BrokenAnswer(error.to_string()));
                 }
             }
         }
-        self.flight.learn(SendOutcome::Answered);
+        self.flight.record_outcome(SendOutcome::Answered);
         self.flight.complete();
         self.run.record_answered();
         Ok("answered")
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -1,4 +1,4 @@
-//! What happens to one request of a caller, from its head to its answer.
+//! Handles one request of a caller, from its head to its answer.
 
 pub(crate) mod dispatch;
 pub(crate) mod event_reader;
@@ -8,7 +8,7 @@
 pub(crate) mod outgoing_body;
 pub(crate) mod own_answer;
 pub(crate) mod relay;
+pub(crate) mod request_context;
 pub(crate) mod request_run;
-pub(crate) mod request_ticket;
 pub(crate) mod share_desk;
 pub(crate) mod stream_relay;
--- a/crates/gateway/src/requests/outgoing_body.rs
+++ b/crates/gateway/src/requests/outgoing_body.rs
@@ -1,9 +1,9 @@
-//! A request's body on its way to an endpoint, which tells whether all of it has been handed on.
+//! A request's body on its way to an endpoint, with its progress.
 //!
-//! Invariant: an endpoint may answer before it has read a long body. Whatever is sent next on that
-//! connection would wait behind the rest of the body, so such a connection is not used again. The body
-//! goes out in pieces because the connection takes a single large one into its buffer at once, which
-//! would say nothing about how much the endpoint has accepted.
+//! Invariant: an endpoint may answer before it has read a long body. The next request on that connection
+//! would wait behind the rest of the body, so such a connection is not reused. The body is sent in chunks
+//! because the connection buffers a single large one at once, which would not show how much the endpoint
+//! has accepted.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -13,48 +13,47 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::task::{Context, Poll};
 
-/// Bytes handed on at once; several fit into a connection's write buffer.
-const PIECE_BYTES: usize = 16 << 10;
-/// Bytes that a connection buffers before it waits for the endpoint: what may be left unsent when the
-/// last piece has been taken.
+/// Largest chunk; several fit into a connection's write buffer.
+const CHUNK_BYTES: usize = 16 << 10;
+/// Size of a connection's write buffer: bytes that may be unsent when the last chunk has been taken.
 pub(crate) const WRITE_BUFFER_BYTES: usize = 64 << 10;
 
-/// How much of a body has not been handed on.
+/// Bytes of a body that the connection has not taken.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct BodyMark(Arc<AtomicUsize>);
+pub(crate) struct BodyProgress(Arc<AtomicUsize>);
 
-impl BodyMark {
-    pub(crate) fn is_handed_on(&self) -> bool {
-        self.rest() == 0
+impl BodyProgress {
+    pub(crate) fn is_consumed(&self) -> bool {
+        self.remaining() == 0
     }
 
-    /// Bytes that have not been handed on.
-    pub(crate) fn rest(&self) -> usize {
+    /// Bytes that the connection has not taken.
+    pub(crate) fn remaining(&self) -> usize {
         self.0.load(Ordering::Acquire)
     }
 }
 
-/// A body that goes out in pieces.
+/// A body that is sent in chunks.
 #[derive(Debug)]
 pub(crate) struct OutgoingBody {
-    rest: Bytes,
-    mark: BodyMark,
+    remaining: Bytes,
+    progress: BodyProgress,
 }
 
 impl OutgoingBody {
     pub(crate) fn new(bytes: Bytes) -> Self {
-        let mark = BodyMark(Arc::new(AtomicUsize::new(bytes.len())));
-        Self { rest: bytes, mark }
+        let progress = BodyProgress(Arc::new(AtomicUsize::new(bytes.len())));
+        Self { remaining: bytes, progress }
     }
 
-    /// Whether it may have to wait for the endpoint to read.
+    /// Whether sending it may have to wait for the endpoint to read.
     pub(crate) fn is_long(&self) -> bool {
-        self.rest.len() > WRITE_BUFFER_BYTES
+        self.remaining.len() > WRITE_BUFFER_BYTES
     }
 
-    /// Tells later, when the connection owns the body, how far it went.
-    pub(crate) fn mark(&self) -> BodyMark {
-        self.mark.clone()
+    /// Returns the progress, which can be read while the connection owns the body.
+    pub(crate) fn progress(&self) -> BodyProgress {
+        self.progress.clone()
     }
 }
 
@@ -66,20 +65,20 @@
         mut self: Pin<&mut Self>,
         _context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if self.rest.is_empty() {
+        if self.remaining.is_empty() {
             return Poll::Ready(None);
         }
-        let length = self.rest.len().min(PIECE_BYTES);
-        let piece = self.rest.split_to(length);
-        self.mark.0.store(self.rest.len(), Ordering::Release);
-        Poll::Ready(Some(Ok(Frame::data(piece))))
+        let length = self.remaining.len().min(CHUNK_BYTES);
+        let chunk = self.remaining.split_to(length);
+        self.progress.0.store(self.remaining.len(), Ordering::Release);
+        Poll::Ready(Some(Ok(Frame::data(chunk))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.rest.is_empty()
+        self.remaining.is_empty()
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.rest.len() as u64)
+        SizeHint::with_exact(self.remaining.len() as u64)
     }
 }
--- a/crates/gateway/src/requests/own_answer.rs
+++ b/crates/gateway/src/requests/own_answer.rs
@@ -1,7 +1,7 @@
-//! Answers that this system makes itself, and what they promise.
+//! Answers that the gateway makes itself, and what they promise.
 //!
-//! Invariant: 429 and 503 are given only to requests of which no byte reached an endpoint, or that
-//! every endpoint refused before running them; whatever may have run gets 502 or 504.
+//! Invariant: 429 and 503 are given only to requests of which no byte reached an endpoint, or that every
+//! endpoint refused before running them; whatever may have run gets 502 or 504.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -9,7 +9,7 @@
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// Why an answer's body broke off.
+/// Why an answer's body was aborted.
 #[derive(Debug, thiserror::Error)]
 #[error("the answer broke off: {0}")]
 pub(crate) struct BrokenAnswer(pub String);
@@ -17,36 +17,37 @@
 /// Body of an answer to a caller.
 pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, BrokenAnswer>;
 
-/// A final answer of this system's own.
+/// A final answer made by the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OwnAnswer {
     pub status: StatusCode,
-    /// What went wrong, as a word for logs and callers.
+    /// The cause, for logs and callers.
     pub reason: &'static str,
-    /// When to come back, in milliseconds; only with answers that promise "not run".
+    /// Retry delay, in milliseconds; only with answers that promise "not run".
     pub retry_after_millis: Option<u64>,
 }
 
 impl OwnAnswer {
-    /// Endpoints end under the request, and this one has reached none. No time to return: it would end the same way.
-    pub(crate) const HELD_BACK: Self = Self::plain(
+    /// Endpoints crash under the request, and this one has reached none. It has no retry delay: a retry
+    /// would end the same way.
+    pub(crate) const QUARANTINED: Self = Self::plain(
         StatusCode::SERVICE_UNAVAILABLE,
         "held back: endpoints end under this request; it was not run",
     );
-    /// Endpoints end under the request, this one's among them.
-    pub(crate) const HELD_AFTER_RUN: Self =
+    /// Endpoints crash under the request, and it has reached one.
+    pub(crate) const QUARANTINED_AFTER_RUN: Self =
         Self::plain(StatusCode::BAD_GATEWAY, "held back: endpoints end under this request; it may have run");
 
     pub(crate) const fn plain(status: StatusCode, reason: &'static str) -> Self {
         Self { status, reason, retry_after_millis: None }
     }
 
-    /// Refused as not run; the caller may come back after `millis`.
+    /// A refusal before running, with the retry delay `millis`.
     pub(crate) const fn not_run(reason: &'static str, millis: u64) -> Self {
         Self { status: StatusCode::SERVICE_UNAVAILABLE, reason, retry_after_millis: Some(millis) }
     }
 
-    /// The answer as it goes out.
+    /// Builds the HTTP response.
     pub(crate) fn response(&self) -> Response<AnswerBody> {
         let mut response = Response::new(full_body(Bytes::from_static(self.reason.as_bytes())));
         *response.status_mut() = self.status;
@@ -60,7 +61,7 @@
     }
 }
 
-/// A body that is known whole.
+/// Creates a body from bytes that are all present.
 pub(crate) fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
--- a/crates/gateway/src/requests/request_ticket.rs
+++ b/crates/gateway/src/requests/request_context.rs
@@ -1,7 +1,7 @@
-//! What is known of a request from its head: route, account, deadline, prompt.
+//! The parsed head of a request: route, account, deadline, prompt.
 //!
-//! Invariant: after this module nothing of a caller's head steers an endpoint except what the caller
-//! may set; headers that only the system sets are gone.
+//! Invariant: no header beyond this module affects an endpoint except those that a caller may set; headers
+//! that only the system sets are removed.
 
 use crate::gateway::Gateway;
 use crate::pick_target;
@@ -12,12 +12,12 @@
 use hyper::{Method, StatusCode};
 use spanfold_entity::Moment;
 
-/// When to come back to a VM that knows no configuration yet, in milliseconds.
+/// Retry delay while this VM has no configuration.
 const UNCONFIGURED_RETRY_MILLIS: u64 = 500;
-/// Highest number of a priority at engines.
-const PRIORITY_MOST: u8 = 9;
-/// Wall around all accounts that share cached parts.
-const SHARED_WALL: &str = "shared";
+/// Largest priority number that engines accept.
+const MAX_PRIORITY: u8 = 9;
+/// Isolation scope of all accounts that share cached segments.
+const SHARED_SCOPE: &str = "shared";
 
 /// Headers that belong to one connection.
 const HOP_HEADERS: [&str; 8] = [
@@ -33,39 +33,39 @@
 
 /// One request, checked and ready to be placed.
 #[derive(Debug)]
-pub(crate) struct RequestTicket {
+pub(crate) struct RequestContext {
     pub id: HeaderValue,
     pub method: Method,
     pub path: String,
-    /// The host that was asked for.
+    /// The requested host.
     pub host: String,
     pub headers: HeaderMap,
     pub route: RouteRow,
     pub service: String,
     pub account: Option<String>,
-    /// Who may share the prompt's cached parts.
-    pub wall: String,
+    /// Isolation scope: which accounts may share the prompt's cached segments.
+    pub isolation_scope: String,
     pub priority: u8,
     pub model: Option<String>,
-    pub parts: Vec<PromptSegment>,
+    pub segments: Vec<PromptSegment>,
     pub prompt_tokens: u32,
     pub output_tokens: u32,
     pub config_version: u64,
-    pub received: Moment,
-    /// Its answer must be out by then.
-    pub limit: Moment,
+    pub received_at: Moment,
+    /// The answer must be complete by then.
+    pub deadline: Moment,
 }
 
-impl RequestTicket {
-    /// Reads a request's head.
-    pub(crate) fn read(gateway: &Gateway, head: &Parts, received: Moment) -> Result<Self, OwnAnswer> {
+impl RequestContext {
+    /// Parses and checks a request's head.
+    pub(crate) fn parse(gateway: &Gateway, head: &Parts, received_at: Moment) -> Result<Self, OwnAnswer> {
         let names = &gateway.dialect.headers;
         let headers = &head.headers;
         check_framing(headers)?;
         let Some(table) = gateway.routes() else {
             return Err(OwnAnswer::not_run("no configuration is known yet", UNCONFIGURED_RETRY_MILLIS));
         };
-        let host = text(headers, &hyper::header::HOST).or_else(|| head.uri.host()).unwrap_or_default();
+        let host = header_text(headers, &hyper::header::HOST).or_else(|| head.uri.host()).unwrap_or_default();
         let Some(route) = table.route(host, head.uri.path()) else {
             return Err(OwnAnswer::plain(StatusCode::NOT_FOUND, "no route"));
         };
@@ -73,7 +73,7 @@
         let Some(id) = headers.get(&names.request_id).cloned() else {
             return Err(OwnAnswer::plain(StatusCode::BAD_REQUEST, "the request has no id"));
         };
-        let asked: u64 = match text(headers, &names.deadline_millis) {
+        let timeout_millis: u64 = match header_text(headers, &names.deadline_millis) {
             None => route.timeout_millis,
             Some(value) => value.trim().parse().map_err(|_error| {
                 OwnAnswer::plain(StatusCode::BAD_REQUEST, "the deadline is not a number")
@@ -81,11 +81,12 @@
         };
         let service = pick_target(&route.targets, rand::random())
             .ok_or(OwnAnswer::plain(StatusCode::NOT_FOUND, "the route has no service"))?;
-        let wall = account
+        let isolation_scope = account
             .filter(|account| account.isolated)
-            .map_or_else(|| SHARED_WALL.to_owned(), |account| format!("account:{}", account.name));
-        let parts = text(headers, &names.prompt_segments).and_then(gateway.dialect.decode.prompt_segments);
-        let usage = text(headers, &names.token_usage).and_then(gateway.dialect.decode.token_usage);
+            .map_or_else(|| SHARED_SCOPE.to_owned(), |account| format!("account:{}", account.name));
+        let segments =
+            header_text(headers, &names.prompt_segments).and_then(gateway.dialect.decode.prompt_segments);
+        let usage = header_text(headers, &names.token_usage).and_then(gateway.dialect.decode.token_usage);
         let (prompt_tokens, output_tokens) = usage.unwrap_or_default();
         let priority = account.and_then(|account| account.priority).unwrap_or(route.priority);
         Ok(Self {
@@ -93,18 +94,18 @@
             method: head.method.clone(),
             path: head.uri.path_and_query().map_or_else(|| "/".to_owned(), ToString::to_string),
             host: host.to_owned(),
-            headers: forwarded(headers, names),
+            headers: forwarded_headers(headers, names),
             service: service.to_owned(),
             account: account.map(|account| account.name.clone()),
-            parts: parts.unwrap_or_default(),
-            wall,
-            priority: priority.min(PRIORITY_MOST),
-            model: text(headers, &names.model).map(str::to_owned),
+            segments: segments.unwrap_or_default(),
+            isolation_scope,
+            priority: priority.min(MAX_PRIORITY),
+            model: header_text(headers, &names.model).map(str::to_owned),
             prompt_tokens,
             output_tokens,
             config_version: table.config().version,
-            received,
-            limit: received.after_millis(asked.min(route.timeout_millis)),
+            received_at,
+            deadline: received_at.after_millis(timeout_millis.min(route.timeout_millis)),
             route: route.clone(),
         })
     }
@@ -113,11 +114,11 @@
         self.route.kind == RouteKind::Stream
     }
 
-    /// What decides whether it goes, waits or is refused; none if its service knows no prompts.
+    /// Returns the inputs of admission; none if the request has no prompt.
     pub(crate) fn admission(&self) -> Option<AdmissionView> {
-        (!self.parts.is_empty()).then(|| AdmissionView {
-            received: self.received,
-            limit: self.limit,
+        (!self.segments.is_empty()).then(|| AdmissionView {
+            received: self.received_at,
+            limit: self.deadline,
             objective_millis: self.route.objective_millis,
             silence_millis: self.route.silence_millis(),
             rank: self.priority,
@@ -130,11 +131,11 @@
     }
 }
 
-/// Refuses a body that is framed in two ways: what follows it could pass as another request.
+/// Rejects a body with two framings: the bytes after it could be parsed as another request.
 fn check_framing(headers: &HeaderMap) -> Result<(), OwnAnswer> {
-    let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
-    let coded = headers.contains_key(TRANSFER_ENCODING);
-    if lengths > 1 || (coded && lengths > 0) {
+    let length_count = headers.get_all(CONTENT_LENGTH).iter().count();
+    let has_transfer_coding = headers.contains_key(TRANSFER_ENCODING);
+    if length_count > 1 || (has_transfer_coding && length_count > 0) {
         return Err(OwnAnswer::plain(StatusCode::BAD_REQUEST, "the body is framed in two ways"));
     }
     Ok(())
@@ -146,7 +147,7 @@
     route: &RouteRow,
     headers: &HeaderMap,
 ) -> Result<Option<&'a AccountRow>, OwnAnswer> {
-    let key = text(headers, &hyper::header::AUTHORIZATION).and_then(gateway.dialect.decode.caller_key);
+    let key = header_text(headers, &hyper::header::AUTHORIZATION).and_then(gateway.dialect.decode.caller_key);
     let account = key.and_then(|key| table.account(key));
     if account.is_none() && table.asks_for_keys() && !route.public {
         return Err(OwnAnswer::plain(StatusCode::UNAUTHORIZED, "no such key"));
@@ -154,11 +155,11 @@
     Ok(account)
 }
 
-/// The caller's headers without those of one connection and those that only the system sets.
-fn forwarded(headers: &HeaderMap, names: &HeaderNames) -> HeaderMap {
+/// Returns the caller's headers without those of one connection and those that only the system sets.
+fn forwarded_headers(headers: &HeaderMap, names: &HeaderNames) -> HeaderMap {
     let mut forwarded = headers.clone();
-    // Names listed in the Connection header belong to that connection, too, but not those that say
-    // what the request is: a caller could have it run as another one.
+    // Names listed in the Connection header belong to that connection, too, except for those that define
+    // the request: by listing them, a caller could have it run as another one.
     let essential = [&names.request_id, &names.model, &names.token_usage, &names.prompt_segments];
     for listed in headers.get_all(CONNECTION) {
         for name in listed.to_str().unwrap_or_default().split(',').map(str::trim) {
@@ -177,12 +178,12 @@
     forwarded
 }
 
-/// A header's text, if it is there and readable.
-pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+/// Returns a header's text, if it is present and readable.
+pub(crate) fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Whether a header belongs to one connection and is not passed on.
-pub(crate) fn is_hop_header(name: &HeaderName) -> bool {
+/// Whether a header belongs to one connection and is not forwarded.
+pub(crate) fn is_hop_by_hop(name: &HeaderName) -> bool {
     HOP_HEADERS.contains(&name.as_str())
 }
--- a/crates/gateway/src/requests/request_run.rs
+++ b/crates/gateway/src/requests/request_run.rs
@@ -1,16 +1,16 @@
-//! One request on its way: what has been tried, what is known, how it ended.
+//! The state of one request: its sends, what is recorded of it, its outcome.
 //!
-//! Invariant: each request writes one line when it ends, with the inputs of its last decision, also if
+//! Invariant: each request writes one log line when it ends, with the inputs of its last decision, also if
 //! its caller left.
 
-use crate::endpoints::end_watch::{BrokenEndpoint, BrokenSend, EndAnswer, millis};
+use crate::endpoints::end_watch::{BrokenEndpoint, BrokenSend, ProbeCompletion, millis};
 use crate::gateway::{CountGuard, Gateway};
-use crate::memory::HeldGuard;
+use crate::memory::MemoryReservation;
 use crate::operators::gateway_metrics::KindLabel;
 use crate::requests::flight::SendFlight;
 use crate::requests::own_answer::{AnswerBody, OwnAnswer, full_body};
 use crate::requests::relay::answer_with;
-use crate::requests::request_ticket::RequestTicket;
+use crate::requests::request_context::RequestContext;
 use crate::{
     EndpointCrash, EndpointKey, EndpointRow, PlacementChoice, QueueOrder, RequestIdentity, RequestKey,
     TestDraw, short_digest,
@@ -22,80 +22,80 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// Spread of the return time, in milliseconds, so that those refused together come back apart.
-const RETRY_SPREAD_MILLIS: u64 = 300;
+/// Bound of the random addition to retry delays, so that requests refused together return apart.
+const MAX_RETRY_SPREAD_MILLIS: u64 = 300;
 
-/// What a request holds of its caller's until it ends.
+/// The caller's resources that a request uses until it ends.
 #[derive(Debug)]
-pub(crate) struct CallerHold {
-    /// Counts it as open.
+pub(crate) struct CallerResources {
+    /// Counts the request as open.
     pub _open: CountGuard,
-    /// Counts its body.
-    pub _held: HeldGuard,
-    /// Ends the caller's connection.
-    pub cut: Arc<Notify>,
+    /// Counts the bytes of its body.
+    pub _reservation: MemoryReservation,
+    /// Closes the caller's connection.
+    pub disconnect: Arc<Notify>,
 }
 
-/// One request on its way, with what has been tried.
+/// One request in progress, with the endpoints that it was sent to.
 #[derive(Debug)]
 pub(crate) struct RequestRun {
     pub gateway: Arc<Gateway>,
-    pub ticket: RequestTicket,
+    pub context: RequestContext,
     pub body: Bytes,
     pub tried: Vec<EndpointKey>,
     /// Sends that reached an endpoint.
     pub sends: u32,
     /// Whether an endpoint may have run it.
     pub may_have_run: bool,
-    /// What the last choice was made on, for the log.
+    /// The last placement, for the log.
     pub choice: Option<PlacementChoice>,
     pub endpoint: String,
-    /// How long it waited here for an engine with room, or for its turn, in microseconds.
+    /// Time spent waiting for an engine with free capacity or in the queue, in microseconds.
     pub waited_micros: u64,
-    /// Whether it waits for an engine with room.
-    pub waits_for_room: bool,
-    /// What decides when it has its turn at an endpoint that takes few requests.
+    /// Whether it waits for an engine with free capacity.
+    pub waits_for_capacity: bool,
+    /// Decides its position in the queue for rate-limited endpoints.
     pub queue_order: QueueOrder,
-    /// Whether it tests a new version of its service.
-    pub test_draw: TestDraw,
+    /// Decides whether it is a canary for a new version of its service.
+    pub canary_draw: TestDraw,
     pub first_at: Option<Moment>,
-    /// An endpoint's own failure, to be passed on if nothing better comes.
+    /// An endpoint's own failure, forwarded if no later send succeeds.
     pub failure: Option<(Box<response::Parts>, Bytes)>,
-    /// Its identity, if that was asked for.
+    /// Its identity, if that was computed.
     key: Option<RequestKey>,
-    /// Tells when the endpoint of the last broken send has been asked whether it ended.
-    pub end_answer: Option<EndAnswer>,
+    /// Signals that the endpoint of the last broken send has been probed.
+    pub probe_completion: Option<ProbeCompletion>,
     outcome: &'static str,
     status: u16,
-    hold: CallerHold,
+    resources: CallerResources,
 }
 
 impl Drop for RequestRun {
-    /// Writes the request's line: what was decided, on what, and how it ended.
+    /// Writes the request's log line: the last decision, its inputs and the outcome.
     fn drop(&mut self) {
         let gateway = &self.gateway;
         let now = gateway.now();
-        gateway.shares.queue().leave(&self.ticket.service, self.queue_order.number);
+        gateway.shares.queue().leave(&self.context.service, self.queue_order.number);
         let outcome = self.outcome;
         gateway.metrics.answers.get_or_create(&KindLabel::new(outcome)).inc();
-        let millis = |moment: Moment| moment.micros_since(self.ticket.received) / MICROS_PER_MILLI;
-        let (expected, kept, candidates) = self.choice.as_ref().map_or((0, 0, 0), |choice| {
+        let millis = |moment: Moment| moment.micros_since(self.context.received_at) / MICROS_PER_MILLI;
+        let (expected_millis, cached_tokens, candidates) = self.choice.as_ref().map_or((0, 0, 0), |choice| {
             (choice.expected_micros / MICROS_PER_MILLI, choice.kept.kept_tokens, choice.candidates)
         });
         log::info!(
-            request = self.ticket.id_text(),
-            route = self.ticket.route.name.as_str(),
-            account = self.ticket.account.as_deref().unwrap_or(""),
-            config = self.ticket.config_version,
+            request = self.context.id_text(),
+            route = self.context.route.name.as_str(),
+            account = self.context.account.as_deref().unwrap_or(""),
+            config = self.context.config_version,
             digest = self.key.map_or_else(String::new, |key| key.to_string()).as_str(),
             endpoint = self.endpoint.as_str(),
             sends = self.sends,
             candidates,
-            objective_ms = self.ticket.route.objective_millis,
+            objective_ms = self.context.route.objective_millis,
             waited_ms = self.waited_micros / MICROS_PER_MILLI,
-            expected_ms = expected,
-            prompt = self.ticket.prompt_tokens,
-            kept,
+            expected_ms = expected_millis,
+            prompt = self.context.prompt_tokens,
+            kept = cached_tokens,
             held = self.choice.as_ref().map_or(0, |choice| choice.kept.held_tokens),
             saved = self.choice.as_ref().map_or(0, |choice| choice.kept.saves.iter().flatten().count()),
             moved = self.choice.as_ref().map_or(0, |choice| choice.kept.moved_tokens),
@@ -110,17 +110,22 @@
 }
 
 impl RequestRun {
-    pub(crate) fn new(gateway: Arc<Gateway>, ticket: RequestTicket, body: Bytes, hold: CallerHold) -> Self {
+    pub(crate) fn new(
+        gateway: Arc<Gateway>,
+        context: RequestContext,
+        body: Bytes,
+        resources: CallerResources,
+    ) -> Self {
         let queue_order = QueueOrder {
             number: gateway.shares.next_number(),
-            rank: ticket.priority,
-            account: ticket.account.clone().unwrap_or_default(),
-            received: ticket.received,
-            objective_millis: ticket.route.objective_millis,
+            rank: context.priority,
+            account: context.account.clone().unwrap_or_default(),
+            received: context.received_at,
+            objective_millis: context.route.objective_millis,
         };
         Self {
             gateway,
-            ticket,
+            context,
             body,
             tried: Vec::new(),
             sends: 0,
@@ -128,28 +133,28 @@
             choice: None,
             endpoint: String::new(),
             waited_micros: 0,
-            waits_for_room: false,
+            waits_for_capacity: false,
             queue_order,
-            test_draw: TestDraw { number: rand::random(), has_slack: false },
+            canary_draw: TestDraw { number: rand::random(), has_slack: false },
             first_at: None,
             failure: None,
             key: None,
-            end_answer: None,
+            probe_completion: None,
             outcome: "caller left",
             status: 0,
-            hold,
+            resources,
         }
     }
 
-    /// What the request is known by, on every VM; none until the deployment's secret is known.
+    /// Returns the request's key, the same on every VM; none until the deployment's secret is known.
     fn request_key(&mut self) -> Option<RequestKey> {
         if self.key.is_none() {
-            let ticket = &self.ticket;
+            let context = &self.context;
             let identity = RequestIdentity {
-                account: ticket.account.as_deref().unwrap_or_default(),
-                method: ticket.method.as_str(),
-                host: &ticket.host,
-                path: &ticket.path,
+                account: context.account.as_deref().unwrap_or_default(),
+                method: context.method.as_str(),
+                host: &context.host,
+                path: &context.path,
                 body: &self.body,
             };
             self.key = Some(self.gateway.identity_key()?.of(&identity));
@@ -157,9 +162,9 @@
         self.key
     }
 
-    /// Whether it is turned away, because endpoints end under it.
-    pub(crate) fn is_held_back(&mut self) -> bool {
-        // Most of the time no request is suspicious, and no body is hashed.
+    /// Whether it is refused, because endpoints crash under it.
+    pub(crate) fn is_quarantined(&mut self) -> bool {
+        // Most of the time no request is suspected: then no body is hashed.
         if self.gateway.desk().quarantine.is_idle() {
             return false;
         }
@@ -168,18 +173,18 @@
         self.gateway.desk().quarantine.held(key, now).is_some()
     }
 
-    /// Waits until what is known of the request has been weighed, if that may hold it back: whether the endpoint of its
-    /// last send ended, and other evidence that has just come.
-    pub(crate) async fn wait_for_judgement(&mut self) {
+    /// Waits until evidence that may quarantine the request is evaluated: whether the endpoint of its last
+    /// send crashed, and other evidence that was just received.
+    pub(crate) async fn wait_for_evaluation(&mut self) {
         if self.gateway.desk().quarantine.is_idle() {
             return;
         }
         let Some(key) = self.request_key() else { return };
-        if let Some(mut answer) = self.end_answer.take()
+        if let Some(mut completion) = self.probe_completion.take()
             && self.gateway.is_close_to_hold(key)
         {
-            // The sender is gone once the endpoint has ended: that is an answer, too.
-            let _ = answer.wait_for(|asked| *asked).await;
+            // The sender is dropped once the endpoint's crash is recorded, which ends the wait, too.
+            let _ = completion.wait_for(|is_probed| *is_probed).await;
         }
         let next_evaluation_at = self.gateway.desk().quarantine.evaluation_at_of(key);
         if let Some(next_evaluation_at) = next_evaluation_at {
@@ -188,8 +193,8 @@
         }
     }
 
-    /// The final answer of a request that is turned away: it says whether it ran, and invites nobody back.
-    pub(crate) fn hold_back(&mut self) -> Response<AnswerBody> {
+    /// Refuses a quarantined request: the answer states whether it may have run, and has no retry delay.
+    pub(crate) fn refuse_quarantined(&mut self) -> Response<AnswerBody> {
         if let Some(key) = self.key {
             let label = self.label();
             let mut desk = self.gateway.desk();
@@ -197,10 +202,14 @@
             desk.describe(key, &label);
         }
         self.gateway.metrics.turned_away.inc();
-        self.own(if self.may_have_run { OwnAnswer::HELD_AFTER_RUN } else { OwnAnswer::HELD_BACK })
+        self.finish_with(if self.may_have_run {
+            OwnAnswer::QUARANTINED_AFTER_RUN
+        } else {
+            OwnAnswer::QUARANTINED
+        })
     }
 
-    /// Notes that an endpoint ran it to its end.
+    /// Records that an endpoint ran it to its end.
     pub(crate) fn record_answered(&mut self) {
         if self.gateway.desk().quarantine.is_idle() {
             return;
@@ -210,24 +219,25 @@
         }
     }
 
-    /// Notes that the connection of a send broke before its answer was whole: if its endpoint ended, that is evidence.
-    pub(crate) fn note_broken(&mut self, flight: &SendFlight) {
-        let (has_begun, age_micros) = flight.age();
+    /// Records a connection that broke before the answer was whole: it is evidence if the endpoint crashed.
+    pub(crate) fn record_broken(&mut self, flight: &SendFlight) {
+        let (is_answering, age_micros) = flight.age();
         let key = self.request_key();
         let digest = key.map_or_else(String::new, |key| key.to_string());
-        log::warn!(request = self.ticket.id_text(), digest = digest.as_str(), endpoint = flight.endpoint.as_str(),
-            begun = has_begun, age_ms = millis(age_micros); "send.broke");
-        let (Some(request), Some(ending)) = (key, self.ending_of(flight)) else { return };
+        log::warn!(request = self.context.id_text(), digest = digest.as_str(),
+            endpoint = flight.endpoint.as_str(), begun = is_answering, age_ms = millis(age_micros);
+            "send.broke");
+        let (Some(request), Some(crash)) = (key, self.crash_of(flight)) else { return };
         let label = self.label();
         self.gateway.desk().describe(request, &label);
         let endpoint = BrokenEndpoint { id: flight.endpoint.clone(), address: flight.address };
-        let request_id = self.ticket.id_text().to_owned();
-        let send = BrokenSend { request, request_id, ending, age_micros };
-        self.end_answer = self.gateway.note_broken(&endpoint, send);
+        let request_id = self.context.id_text().to_owned();
+        let send = BrokenSend { request, request_id, crash, age_micros };
+        self.probe_completion = self.gateway.record_broken_send(&endpoint, send);
     }
 
-    /// What the end of a send's endpoint would be; none if it leaves, or is not known any more.
-    fn ending_of(&self, flight: &SendFlight) -> Option<EndpointCrash> {
+    /// Returns what to record if a send's endpoint crashed; none if it is departing or not listed.
+    fn crash_of(&self, flight: &SendFlight) -> Option<EndpointCrash> {
         let now = self.gateway.now();
         let table = self.gateway.table();
         let row =
@@ -243,98 +253,100 @@
         })
     }
 
-    /// What operators know the request by: client account, method, host and path.
+    /// Describes the request to operators: client account, method, host and path.
     fn label(&self) -> String {
-        let ticket = &self.ticket;
-        let account = ticket.account.as_deref().unwrap_or("-");
-        format!("{account} {} {}{} ({} bytes)", ticket.method, ticket.host, ticket.path, self.body.len())
+        let context = &self.context;
+        let account = context.account.as_deref().unwrap_or("-");
+        format!("{account} {} {}{} ({} bytes)", context.method, context.host, context.path, self.body.len())
     }
 
-    /// Marks how the request ended; told by its log line.
-    pub(crate) fn end(&mut self, outcome: &'static str) {
+    /// Sets the outcome for the request's log line.
+    pub(crate) fn set_outcome(&mut self, outcome: &'static str) {
         self.outcome = outcome;
     }
 
-    /// Marks that it ends because it held most when memory ran out.
+    /// Ends the request because its reservation was the largest when memory ran out.
     pub(crate) fn end_for_memory(&mut self) {
         self.gateway.metrics.memory.ends.get_or_create(&KindLabel::new("answer")).inc();
-        self.end("no memory for what waits");
-        self.hold.cut.notify_one();
+        self.set_outcome("no memory for what waits");
+        self.resources.disconnect.notify_one();
     }
 
-    /// The final answer of a request that did not run, with a spread time to return.
+    /// Refuses a request that did not run, with a random addition to its retry delay.
     pub(crate) fn refuse(&mut self, reason: &'static str, base_millis: u64) -> Response<AnswerBody> {
-        let spread = rand::random_range(0..RETRY_SPREAD_MILLIS);
-        self.own(OwnAnswer::not_run(reason, base_millis + spread))
+        let spread_millis = rand::random_range(0..MAX_RETRY_SPREAD_MILLIS);
+        self.finish_with(OwnAnswer::not_run(reason, base_millis + spread_millis))
     }
 
-    /// The final answer of a request that found no endpoint to go to or go on to.
+    /// Answers a request that no endpoint takes, or takes again.
     pub(crate) fn give_up(&mut self, reason: &'static str, base_millis: u64) -> Response<AnswerBody> {
-        let return_delay_millis = if self.may_have_run { None } else { self.rest_back_millis() };
+        let return_delay_millis = if self.may_have_run { None } else { self.backoff_retry_millis() };
         self.refuse_unless_run(reason, return_delay_millis.unwrap_or(base_millis))
     }
 
-    /// The same, with a time to return that is known.
+    /// Refuses the request with the given retry delay, unless it may have run.
     pub(crate) fn refuse_unless_run(
         &mut self,
         reason: &'static str,
         base_millis: u64,
     ) -> Response<AnswerBody> {
         if self.may_have_run {
-            return self.own(OwnAnswer::plain(StatusCode::BAD_GATEWAY, "the endpoint gave no answer"));
+            return self
+                .finish_with(OwnAnswer::plain(StatusCode::BAD_GATEWAY, "the endpoint gave no answer"));
         }
         self.refuse(reason, base_millis)
     }
 
-    /// When the request may return if all endpoints that may serve it rest, those included that it was sent to.
-    fn rest_back_millis(&self) -> Option<u64> {
-        let (gateway, ticket, now) = (&self.gateway, &self.ticket, self.gateway.now());
+    /// Returns the retry delay if all endpoints that may serve the request are backing off, including those
+    /// that it was sent to.
+    fn backoff_retry_millis(&self) -> Option<u64> {
+        let (gateway, context, now) = (&self.gateway, &self.context, self.gateway.now());
         let routes = gateway.routes()?;
-        let homes = routes.homes(&ticket.host, &ticket.path, ticket.account.as_deref());
+        let homes = routes.homes(&context.host, &context.path, context.account.as_deref());
         let vms = gateway.peers().listed_count();
-        let outlook = {
+        let capacity = {
             let table = gateway.table();
             let may_serve = |row: &EndpointRow| table.is_home(homes, &row.entry.data_centre);
-            table.backoff_capacity(&ticket.service, vms, may_serve, now)?
+            table.backoff_capacity(&context.service, vms, may_serve, now)?
         };
-        Some(gateway.shares.queue().refuse(&ticket.service, &outlook, now))
+        Some(gateway.shares.queue().refuse(&context.service, &capacity, now))
     }
 
-    /// The final answer of a request whose time is over.
-    pub(crate) fn time_up(&mut self) -> Response<AnswerBody> {
-        self.own(OwnAnswer::plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"))
+    /// Answers a request whose deadline has passed.
+    pub(crate) fn time_out(&mut self) -> Response<AnswerBody> {
+        self.finish_with(OwnAnswer::plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"))
     }
 
-    /// Ends with an answer of this system's own, unless an endpoint's failure can be passed on.
-    fn own(&mut self, answer: OwnAnswer) -> Response<AnswerBody> {
+    /// Answers with the gateway's own answer, unless an endpoint's failure can be forwarded.
+    fn finish_with(&mut self, answer: OwnAnswer) -> Response<AnswerBody> {
         if let Some((head, bytes)) = self.failure.take() {
-            return self.pass_on(&head, bytes);
+            return self.forward_answer(&head, bytes);
         }
         self.outcome = answer.reason;
         self.status = answer.status.as_u16();
         answer.response()
     }
 
-    /// Whether another send is allowed now; spends the budget if so.
+    /// Whether another send is allowed now; consumes the retry budget if so.
     pub(crate) fn may_send_again(&self) -> bool {
-        (self.ticket.route.repeatable() || !self.may_have_run)
-            && self.sends < self.ticket.route.attempts
-            && self.gateway.now() < self.ticket.limit
-            && self.gateway.try_spend_repeat(&self.ticket.service)
+        (self.context.route.repeatable() || !self.may_have_run)
+            && self.sends < self.context.route.attempts
+            && self.gateway.now() < self.context.deadline
+            && self.gateway.try_spend_repeat(&self.context.service)
     }
 
-    /// Notes when the first event or the answer came.
-    pub(crate) fn note_first(&mut self) {
+    /// Records when the first event or the answer arrived.
+    pub(crate) fn record_first_event(&mut self) {
         if self.first_at.is_none() {
             let now = self.gateway.now();
             self.first_at = Some(now);
-            let seconds = now.micros_since(self.ticket.received) as f64 / 1e6;
+            let seconds = now.micros_since(self.context.received_at) as f64 / 1e6;
             self.gateway.metrics.first_event_seconds.observe(seconds);
         }
     }
 
     /// Ends the request with an endpoint's whole answer.
-    pub(crate) fn pass_on(&mut self, head: &response::Parts, bytes: Bytes) -> Response<AnswerBody> {
+    pub(crate) fn forward_answer(&mut self, head: &response::Parts, bytes: Bytes) -> Response<AnswerBody> {
         self.status = head.status.as_u16();
         self.outcome = "answered";
         answer_with(head, full_body(bytes))
--- a/crates/gateway/src/requests/share_desk.rs
+++ b/crates/gateway/src/requests/share_desk.rs
@@ -1,6 +1,7 @@
-//! This VM's part of what endpoints take that take few requests from all VMs together, and who waits for it.
+//! This VM's share of rate-limited endpoints' capacity, and the requests that wait for it. An endpoint is
+//! rate limited while it has a reported limit or is cold.
 //!
-//! Invariant: a part counts only while the other VMs are sure to leave it to this one (`ListStanding`).
+//! Invariant: a share is used only while the other VMs are sure to leave it to this one (`ListMembership`).
 
 use crate::gateway::Gateway;
 use crate::{ColdTerms, ShareQueue, ShareRight};
@@ -8,35 +9,35 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The list of VMs is looked through again after this long, in milliseconds: far less than a new VM waits.
-const RIGHT_MILLIS: u64 = 100;
+/// Lifetime of a computed right: far less than the time for which a new VM waits.
+const RIGHT_LIFETIME_MILLIS: u64 = 100;
 
-/// The right, and until when it is taken for the present one.
-type KnownRight = (Arc<ShareRight>, Moment);
+/// The right, and when it must be computed again.
+type CachedRight = (Arc<ShareRight>, Moment);
 
 /// This VM's right, and the requests that wait for endpoints.
 #[derive(Debug, Default)]
 pub(crate) struct ShareDesk {
-    right: Mutex<Option<KnownRight>>,
+    right: Mutex<Option<CachedRight>>,
     queue: Mutex<ShareQueue>,
-    numbers: AtomicU64,
+    request_count: AtomicU64,
 }
 
 impl ShareDesk {
-    /// Requests that wait. Never held across a wait.
+    /// Locks the waiting requests; the lock is not held across an await.
     pub(crate) fn queue(&self) -> MutexGuard<'_, ShareQueue> {
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The number of the next request.
+    /// Returns the number of the next request.
     pub(crate) fn next_number(&self) -> u64 {
-        self.numbers.fetch_add(1, Ordering::Relaxed)
+        self.request_count.fetch_add(1, Ordering::Relaxed)
     }
 }
 
 impl Gateway {
-    /// This VM's right to send to endpoints that take few requests; none while there are none such, and while others may
-    /// not know of this VM or it may not know of them.
+    /// Returns this VM's right to send to rate-limited endpoints. None if no endpoint is limited, or while
+    /// others may not have this VM in their list or it may not have them.
     pub(crate) fn share_right(&self) -> Option<Arc<ShareRight>> {
         if !self.table().is_any_limited(self.now()) {
             return None;
@@ -44,27 +45,27 @@
         self.sharing_right()
     }
 
-    /// This VM's right to a part of what all VMs share; none while others may not know of this VM or it may not know of
-    /// them.
+    /// Returns this VM's right to a share of what all VMs share. None while others may not have this VM in
+    /// their list or it may not have them.
     pub(crate) fn sharing_right(&self) -> Option<Arc<ShareRight>> {
         let now = self.now();
-        let standing = *self.list_standing();
-        if !standing.holds(now) {
+        let membership = *self.list_standing();
+        if !membership.holds(now) {
             return None;
         }
-        let mut known = self.shares.right.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((right, until)) = known.as_ref()
-            && now < *until
-            && right.is_fresh == standing.is_fresh(now)
+        let mut cached = self.shares.right.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some((right, expires_at)) = cached.as_ref()
+            && now < *expires_at
+            && right.is_fresh == membership.is_fresh(now)
         {
             return Some(Arc::clone(right));
         }
-        let right = Arc::new(self.peers().share_right(&standing, now));
-        *known = Some((Arc::clone(&right), now.after_millis(RIGHT_MILLIS)));
+        let right = Arc::new(self.peers().share_right(&membership, now));
+        *cached = Some((Arc::clone(&right), now.after_millis(RIGHT_LIFETIME_MILLIS)));
         Some(right)
     }
 
-    /// What the operator allows all VMs together to send to a cold endpoint.
+    /// Returns what the operator allows all VMs together to send to a cold endpoint.
     pub(crate) fn cold_terms(&self) -> ColdTerms {
         ColdTerms { overrun: self.settings.cold_overrun, slack: self.settings.cold_slack }
     }
