--- a/crates/gateway/tests/event_reader.rs
+++ b/crates/gateway/tests/event_reader.rs
@@ -1,4 +1,4 @@
-//! Whole events, however a stream cuts them.
+//! The event reader returns whole events, whatever the chunk boundaries of a stream.
 
 use bytes::Bytes;
 use http_body_util::StreamBody;
@@ -8,18 +8,18 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-struct Pieces<'a>(std::slice::Iter<'a, &'static str>);
+struct Chunks<'a>(std::slice::Iter<'a, &'static str>);
 
-impl futures_core::Stream for Pieces<'_> {
+impl futures_core::Stream for Chunks<'_> {
     type Item = Result<Frame<Bytes>, Infallible>;
 
     fn poll_next(mut self: Pin<&mut Self>, _context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        Poll::Ready(self.0.next().map(|piece| Ok(Frame::data(Bytes::from_static(piece.as_bytes())))))
+        Poll::Ready(self.0.next().map(|chunk| Ok(Frame::data(Bytes::from_static(chunk.as_bytes())))))
     }
 }
 
-async fn read(pieces: &[&'static str]) -> (Vec<String>, Option<EventError>, Option<String>) {
-    let mut reader = EventReader::new(StreamBody::new(Pieces(pieces.iter())));
+async fn read(chunks: &[&'static str]) -> (Vec<String>, Option<EventError>, Option<String>) {
+    let mut reader = EventReader::new(StreamBody::new(Chunks(chunks.iter())));
     let mut events = Vec::new();
     let error = loop {
         match reader.next().await {
@@ -38,8 +38,8 @@
     let whole = (vec![text.to_owned()], None, Some("2".to_owned()));
     assert_eq!(read(&[text]).await, whole);
     for cut in 1..text.len() {
-        let (one, other) = text.split_at(cut);
-        let (events, error, last) = read(&[one, other]).await;
+        let (head, tail) = text.split_at(cut);
+        let (events, error, last) = read(&[head, tail]).await;
         assert_eq!(
             (events.concat().as_str(), error, last.as_deref()),
             (text, None, Some("2")),
@@ -49,14 +49,14 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_ends_within_an_event_says_so() {
+async fn stream_that_ends_within_an_event_is_partial() {
     let (events, error, last) = read(&["id: 1\ndata: a\n\nid: 2\nda"]).await;
     assert_eq!(events, ["id: 1\ndata: a\n\n"]);
     assert_eq!((error, last.as_deref()), (Some(EventError::Partial), Some("1")));
 }
 
 #[tokio::test]
-async fn events_may_end_their_lines_with_returns() {
+async fn events_may_have_crlf_line_ends() {
     let (events, error, _) = read(&["id: 1\r\ndata: a\r\n", "\r\nid: 2\r\ndata: b\r\n\r\n"]).await;
     assert_eq!((events.concat().as_str(), error), ("id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n", None));
 }
