--- a/crates/policy/examples/kernel_cost.rs
+++ b/crates/policy/examples/kernel_cost.rs
@@ -1,7 +1,8 @@
-//! What the kernel costs: time per decision and bytes of state, against what grows.
+//! Measures the kernel's cost: time per request and bytes of state, by engines, accounts and stored
+//! blocks.
 //!
 //! `cargo run --release -p spanfold-policy --example kernel_cost`. One kernel is the only VM of its
-//! data centre, so each request is asked, granted, begun and ended in it: four events.
+//! data centre, so it handles all events of a request: placement, grant, first token and end.
 
 use spanfold_declare::{Catalogue, Declarations, Document};
 use spanfold_entity::Moment;
@@ -11,7 +12,7 @@
 use std::time::Instant;
 
 const REQUESTS: u64 = 20_000;
-const PIECES: u64 = 7;
+const BLOCKS_PER_PROMPT: u64 = 7;
 
 fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -19,7 +20,7 @@
     pages * 4_096
 }
 
-fn configured(engines: usize, accounts: usize) -> (Kernel, u64) {
+fn start_kernel(engines: usize, accounts: usize) -> (Kernel, u64) {
     let mut text = String::from("[pool p]\nkind = engine\nselector = role=e\nmodel = m\nversion = 1\n");
     text += "[share s]\naccounts =\nresources =\npercent = 100\n";
     text += "[endpoint store]\nkind = store\naddress = 127.0.0.1:1\ndata_centre = d\n";
@@ -32,10 +33,10 @@
         text += &format!("[client-account a{number}]\nlabels = n=n{number}\nrate = 1000000\n");
     }
     let before = resident_bytes();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let document = Document::parse("cost", &text).expect("it parses");
     let catalogue = Catalogue::new(Declarations::check(&document).expect("it has no findings"));
-    let parse = begun.elapsed();
+    let parse_time = started_at.elapsed();
     drop(document);
     let mut world = World {
         me: "vm".into(),
@@ -57,14 +58,14 @@
         state: VmState::Live,
     };
     kernel.step(Moment(0), Event::Listed { vms: vec![vm] });
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let catalogue = Some(Arc::new(catalogue));
     kernel.step(Moment(1), Event::Configured { generation: 1, text: Arc::from(""), catalogue });
     let bytes = resident_bytes().saturating_sub(before);
     println!(
         "engines {engines:>4} accounts {accounts:>6}: parse {:>7.1} ms off the control thread, apply {:>6.2} ms, {:>6.2} MB, {} KB of text",
-        parse.as_secs_f64() * 1e3,
-        begun.elapsed().as_secs_f64() * 1e3,
+        parse_time.as_secs_f64() * 1e3,
+        started_at.elapsed().as_secs_f64() * 1e3,
         bytes as f64 / 1e6,
         text.len() / 1_000
     );
@@ -77,8 +78,8 @@
         request,
         account: format!("a{}", request as usize % accounts),
         pool: "p".into(),
-        keys: (0..PIECES)
-            .map(|piece| prompt.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 16 << 16 | piece)
+        keys: (0..BLOCKS_PER_PROMPT)
+            .map(|block| prompt.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 16 << 16 | block)
             .collect(),
         prompt_tokens: 7_300,
         max_tokens: 200,
@@ -88,11 +89,11 @@
     }
 }
 
-/// Microseconds that one request costs the control thread, and one tick.
+/// Returns the microseconds that one request and one tick cost the control thread.
 fn request_cost(kernel: &mut Kernel, accounts: usize) -> (f64, f64) {
     let mut now = 1_000_000;
     kernel.step(Moment(now), Event::Tick);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for request in 0..REQUESTS {
         now += 100;
         kernel.step(Moment(now), Event::Arrive(arrival(request, accounts)));
@@ -100,31 +101,33 @@
         kernel.step(Moment(now + 1), Event::Progress { request, outcome: Outcome::FirstToken(usage) });
         kernel.step(Moment(now + 2), Event::Progress { request, outcome: Outcome::Complete(200) });
     }
-    let request = begun.elapsed().as_secs_f64() * 1e6 / REQUESTS as f64;
-    let begun = Instant::now();
+    let request = started_at.elapsed().as_secs_f64() * 1e6 / REQUESTS as f64;
+    let started_at = Instant::now();
     for tick in 0..1_000 {
         kernel.step(Moment(now + tick), Event::Tick);
     }
-    (request, begun.elapsed().as_secs_f64() * 1e6 / 1_000.0)
+    (request, started_at.elapsed().as_secs_f64() * 1e6 / 1_000.0)
 }
 
 fn main() {
-    println!("-- one request: arrive, ask, grant, first token, end; prompt of {PIECES} pieces");
+    println!(
+        "-- one request: arrival, placement, grant, first token, end; prompt of {BLOCKS_PER_PROMPT} blocks"
+    );
     for (engines, accounts) in
         [(10, 10), (100, 10), (324, 10), (500, 10), (13, 1_000), (13, 24_000), (324, 24_000)]
     {
-        let (mut kernel, _) = configured(engines, accounts);
+        let (mut kernel, _) = start_kernel(engines, accounts);
         let (request, tick) = request_cost(&mut kernel, accounts);
         println!("    request {request:>6.2} us, tick {tick:>7.2} us");
     }
-    println!("-- kept pieces indexed at one home");
-    for pieces in [100_u64, 2_000, 20_000, 110_000, 880_000] {
-        let (mut kernel, _) = configured(13, 10);
+    println!("-- stored blocks indexed at one home");
+    for block_count in [100_u64, 2_000, 20_000, 110_000, 880_000] {
+        let (mut kernel, _) = start_kernel(13, 10);
         kernel.step(Moment(500_000), Event::Tick);
         let before = resident_bytes();
-        let stored = (0..pieces).map(|piece| piece.wrapping_mul(0x9e37_79b9_7f4a_7c15)).collect();
-        let begun = Instant::now();
-        let read = Event::StoreRead {
+        let stored = (0..block_count).map(|block| block.wrapping_mul(0x9e37_79b9_7f4a_7c15)).collect();
+        let started_at = Instant::now();
+        let listing = Event::StoreRead {
             store: "store".into(),
             pool: "p".into(),
             whole: true,
@@ -132,13 +135,13 @@
             freed: vec![],
             room: 9,
         };
-        kernel.step(Moment(600_000), read);
-        let took = begun.elapsed();
+        kernel.step(Moment(600_000), listing);
+        let elapsed = started_at.elapsed();
         let bytes = resident_bytes().saturating_sub(before);
         let (request, _) = request_cost(&mut kernel, 10);
         println!(
-            "    {pieces:>7} pieces: indexed in {:>7.1} ms, {:>6.2} MB, request {request:>6.2} us",
-            took.as_secs_f64() * 1e3,
+            "    {block_count:>7} blocks: indexed in {:>7.1} ms, {:>6.2} MB, request {request:>6.2} us",
+            elapsed.as_secs_f64() * 1e3,
             bytes as f64 / 1e6
         );
     }
--- a/crates/policy/src/configuration.rs
+++ b/crates/policy/src/configuration.rs
@@ -1,9 +1,10 @@
-//! Which configuration is in force, and how a newer one spreads.
+//! Tracks the configuration in force and distributes newer ones.
 //!
 //! Invariant: a VM applies only a generation higher than the one in force. One VM of a data centre
-//! holds a watch on the head record; the others learn the generation from heartbeats and pull
-//! what they lack from whoever said it, so that platform calls grow with data centres, not VMs.
-//! A platform that shows an older head than the one in force has lost it; it is written back.
+//! watches the head record. The other VMs learn of the generation by heartbeats and pull what they lack
+//! from the sender, so that the number of platform calls grows with data centres, not with VMs. A
+//! platform that returns an older head than the one in force has lost data; the newer head is written
+//! back to it.
 
 use crate::membership::is_gateway;
 use spanfold_declare::{Catalogue, Declarations, Document, EndpointKind, chunk_digest};
@@ -12,68 +13,68 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// An unanswered pull is repeated after this long, in milliseconds; chunks are waited for twice as long
-/// with each repeat, because an answer may be on its way over a narrow link.
-const PULL_MILLIS: u64 = 500;
-/// The longest such wait, in milliseconds: several times what the largest chunk takes at 1 Mbit/s.
-const PULL_MOST_MILLIS: u64 = 8_000;
-/// After so many pulls that brought nothing, chunks are asked for elsewhere.
-const VAIN_PULLS: u32 = 2;
+/// An unanswered pull is repeated after this long. For chunks the delay doubles with each repeat,
+/// because an answer may still be in transit over a narrow link.
+const PULL_RETRY_DELAY_MILLIS: u64 = 500;
+/// Longest such delay: several times the transfer time of the largest chunk at 1 Mbit/s.
+const MAX_PULL_RETRY_DELAY_MILLIS: u64 = 8_000;
+/// After this many pulls that returned no chunk, the chunks are requested from another source.
+const MAX_UNANSWERED_PULLS: u32 = 2;
 
-/// A generation on its way.
+/// A generation that is being fetched.
 #[derive(Debug, Clone)]
-struct WantedHead {
+struct PendingHead {
     generation: u64,
     digests: Vec<String>,
     source: Option<String>,
-    ask_again: Moment,
-    /// How long chunks are waited for, in milliseconds.
-    pause_millis: u64,
-    /// Pulls since the last chunk came.
-    vain_pulls: u32,
+    next_pull_at: Moment,
+    /// Delay before missing chunks are requested again.
+    retry_delay_millis: u64,
+    /// Pulls since the last chunk arrived.
+    unanswered_pulls: u32,
     parsing: bool,
 }
 
-impl WantedHead {
-    /// Takes another source of the same generation, if the present one brings nothing.
+impl PendingHead {
+    /// Switches to another source of the same generation if the current one returns no chunks.
     fn offer_source(&mut self, generation: u64, source: Option<&str>) {
-        let is_other = self.source.as_deref() != source;
-        if generation == self.generation && self.vain_pulls >= VAIN_PULLS && is_other {
+        let is_other_source = self.source.as_deref() != source;
+        if generation == self.generation && self.unanswered_pulls >= MAX_UNANSWERED_PULLS && is_other_source {
             self.source = source.map(str::to_owned);
-            self.pause_millis = PULL_MILLIS;
-            self.vain_pulls = 0;
+            self.retry_delay_millis = PULL_RETRY_DELAY_MILLIS;
+            self.unanswered_pulls = 0;
         }
     }
 
-    /// Notes that chunks were asked for.
-    fn note_pull(&mut self, now: Moment) {
-        self.ask_again = now.after_millis(self.pause_millis);
-        self.pause_millis = (self.pause_millis * 2).min(PULL_MOST_MILLIS);
-        self.vain_pulls += 1;
+    /// Records that chunks were requested.
+    fn record_pull(&mut self, now: Moment) {
+        self.next_pull_at = now.after_millis(self.retry_delay_millis);
+        self.retry_delay_millis = (self.retry_delay_millis * 2).min(MAX_PULL_RETRY_DELAY_MILLIS);
+        self.unanswered_pulls += 1;
     }
 
-    /// Notes that a chunk came, with more of them behind it.
-    fn note_chunk(&mut self, now: Moment) {
-        self.ask_again = now.after_millis(self.pause_millis);
-        self.vain_pulls = 0;
+    /// Records that a chunk arrived; more may follow.
+    fn record_chunk(&mut self, now: Moment) {
+        self.next_pull_at = now.after_millis(self.retry_delay_millis);
+        self.unanswered_pulls = 0;
     }
 
-    /// Notes that a reading has ended without all chunks: nothing more is on its way.
-    fn note_end(&mut self, now: Moment) {
-        self.pause_millis = PULL_MILLIS;
-        self.ask_again = now.after_millis(self.pause_millis);
+    /// Records that a read ended without all chunks: no more are in transit.
+    fn record_read_end(&mut self, now: Moment) {
+        self.retry_delay_millis = PULL_RETRY_DELAY_MILLIS;
+        self.next_pull_at = now.after_millis(self.retry_delay_millis);
     }
 }
 
-/// State of the configuration plug-in: chunks in force and chunks on their way.
+/// State of the configuration plug-in: chunks in force and chunks being fetched.
 #[derive(Debug)]
 pub struct ConfigurationStore {
     digests: Vec<String>,
     chunks: BTreeMap<String, Arc<str>>,
-    wanted: Option<WantedHead>,
-    pulled_until: Moment,
+    pending_head: Option<PendingHead>,
+    next_head_pull_at: Moment,
     watching: bool,
-    told: bool,
+    has_requested_watch: bool,
 }
 
 impl ConfigurationStore {
@@ -81,29 +82,29 @@
         Self {
             digests: Vec::new(),
             chunks: BTreeMap::new(),
-            wanted: None,
-            pulled_until: Moment(0),
+            pending_head: None,
+            next_head_pull_at: Moment(0),
             watching: false,
-            told: false,
+            has_requested_watch: false,
         }
     }
 
-    /// Bytes of the chunks held, for reports.
+    /// Returns the total size of the stored chunks, for reports.
     pub fn chunk_bytes(&self) -> usize {
         self.chunks.values().map(|text| text.len()).sum()
     }
 
     fn handle(&mut self, context: &mut Context<'_>, event: &Event) {
         match event {
-            Event::HeadRead { generation, digests } => self.read_head(context, *generation, digests),
-            Event::ChunksRead { texts } => self.take_chunks(context, texts),
+            Event::HeadRead { generation, digests } => self.apply_head_read(context, *generation, digests),
+            Event::ChunksRead { texts } => self.add_chunks(context, texts),
             Event::Configured { generation, text, catalogue } => {
                 self.apply(context, *generation, text, catalogue.as_ref());
             }
             Event::Receive { from, message } => self.receive(context, from, message),
             Event::Tick => {
                 self.update_watch(context);
-                self.ask_again(context);
+                self.pull_missing_chunks(context);
             }
             _ => {}
         }
@@ -112,38 +113,39 @@
     fn receive(&mut self, context: &mut Context<'_>, from: &str, message: &Message) {
         match message {
             Message::Beat(beat)
-                if beat.generation > self.newest(context.world) && context.now >= self.pulled_until =>
+                if beat.generation > self.newest_generation(context.world)
+                    && context.now >= self.next_head_pull_at =>
             {
-                self.pulled_until = context.now.after_millis(PULL_MILLIS);
+                self.next_head_pull_at = context.now.after_millis(PULL_RETRY_DELAY_MILLIS);
                 context.send(from, Message::HeadPull);
             }
-            // Its source may be gone: whoever has the generation in force has its chunks.
+            // The source may be gone; any VM that has the generation in force has its chunks.
             Message::Beat(beat) => self.offer_source(beat.generation, Some(from)),
             Message::HeadPull if context.world.generation > 0 => {
                 let generation = context.world.generation;
                 context.send(from, Message::Head { generation, digests: self.digests.clone() });
             }
             Message::Head { generation, digests } => {
-                self.want(context, *generation, digests, Some(from));
+                self.fetch_head(context, *generation, digests, Some(from));
             }
             Message::ChunkPull { digests } => {
-                // One by one, so that each one that has arrived need not be asked for again.
+                // One message per chunk, so that a chunk that has arrived is not requested again.
                 for text in digests.iter().filter_map(|digest| self.chunks.get(digest)) {
                     context.send(from, Message::Chunks { texts: vec![Arc::clone(text)] });
                 }
             }
-            Message::Chunks { texts } => self.take_chunks(context, texts),
+            Message::Chunks { texts } => self.add_chunks(context, texts),
             _ => {}
         }
     }
 
-    fn newest(&self, world: &World) -> u64 {
-        self.wanted.as_ref().map_or(world.generation, |wanted| wanted.generation.max(world.generation))
+    fn newest_generation(&self, world: &World) -> u64 {
+        self.pending_head.as_ref().map_or(world.generation, |head| head.generation.max(world.generation))
     }
 
-    fn read_head(&mut self, context: &mut Context<'_>, generation: u64, digests: &[String]) {
+    fn apply_head_read(&mut self, context: &mut Context<'_>, generation: u64, digests: &[String]) {
         if generation >= context.world.generation {
-            self.want(context, generation, digests, None);
+            self.fetch_head(context, generation, digests, None);
             return;
         }
         context.log(
@@ -158,68 +160,74 @@
         });
     }
 
-    fn want(&mut self, context: &mut Context<'_>, generation: u64, digests: &[String], source: Option<&str>) {
-        if generation <= self.newest(context.world) {
+    fn fetch_head(
+        &mut self,
+        context: &mut Context<'_>,
+        generation: u64,
+        digests: &[String],
+        source: Option<&str>,
+    ) {
+        if generation <= self.newest_generation(context.world) {
             self.offer_source(generation, source);
             return;
         }
-        self.wanted = Some(WantedHead {
+        self.pending_head = Some(PendingHead {
             generation,
             digests: digests.to_vec(),
             source: source.map(str::to_owned),
-            ask_again: context.now,
-            pause_millis: PULL_MILLIS,
-            vain_pulls: 0,
+            next_pull_at: context.now,
+            retry_delay_millis: PULL_RETRY_DELAY_MILLIS,
+            unanswered_pulls: 0,
             parsing: false,
         });
-        self.ask_again(context);
-        self.configure_when_whole(context);
+        self.pull_missing_chunks(context);
+        self.configure_when_complete(context);
     }
 
     fn offer_source(&mut self, generation: u64, source: Option<&str>) {
-        if let Some(wanted) = &mut self.wanted {
-            wanted.offer_source(generation, source);
+        if let Some(head) = &mut self.pending_head {
+            head.offer_source(generation, source);
         }
     }
 
-    fn ask_again(&mut self, context: &mut Context<'_>) {
-        let Some(wanted) = &mut self.wanted else { return };
-        if wanted.parsing || context.now < wanted.ask_again {
+    fn pull_missing_chunks(&mut self, context: &mut Context<'_>) {
+        let Some(head) = &mut self.pending_head else { return };
+        if head.parsing || context.now < head.next_pull_at {
             return;
         }
         let mut missing: Vec<_> =
-            wanted.digests.iter().filter(|digest| !self.chunks.contains_key(*digest)).cloned().collect();
+            head.digests.iter().filter(|digest| !self.chunks.contains_key(*digest)).cloned().collect();
         missing.sort();
         missing.dedup();
         if missing.is_empty() {
             return;
         }
-        wanted.note_pull(context.now);
-        match wanted.source.clone() {
+        head.record_pull(context.now);
+        match head.source.clone() {
             Some(source) => context.send(&source, Message::ChunkPull { digests: missing }),
             None => context.emit(Effect::ReadChunks { digests: missing }),
         }
     }
 
-    fn take_chunks(&mut self, context: &mut Context<'_>, texts: &[Arc<str>]) {
+    fn add_chunks(&mut self, context: &mut Context<'_>, texts: &[Arc<str>]) {
         for text in texts {
             self.chunks.insert(chunk_digest(text), Arc::clone(text));
         }
-        if let Some(wanted) = &mut self.wanted {
-            if texts.is_empty() { wanted.note_end(context.now) } else { wanted.note_chunk(context.now) }
+        if let Some(head) = &mut self.pending_head {
+            if texts.is_empty() { head.record_read_end(context.now) } else { head.record_chunk(context.now) }
         }
-        self.configure_when_whole(context);
+        self.configure_when_complete(context);
     }
 
-    fn configure_when_whole(&mut self, context: &mut Context<'_>) {
-        let Some(wanted) = &mut self.wanted else { return };
+    fn configure_when_complete(&mut self, context: &mut Context<'_>) {
+        let Some(head) = &mut self.pending_head else { return };
         let texts: Option<Vec<_>> =
-            wanted.digests.iter().map(|digest| self.chunks.get(digest).cloned()).collect();
+            head.digests.iter().map(|digest| self.chunks.get(digest).cloned()).collect();
         if let Some(texts) = texts
-            && !wanted.parsing
+            && !head.parsing
         {
-            wanted.parsing = true;
-            context.emit(Effect::Configure { generation: wanted.generation, texts });
+            head.parsing = true;
+            context.emit(Effect::Configure { generation: head.generation, texts });
         }
     }
 
@@ -245,10 +253,10 @@
                 }
             }
         };
-        if let Some(wanted) = self.wanted.take_if(|wanted| wanted.generation <= generation) {
-            self.digests = wanted.digests;
-            let kept = &self.digests;
-            self.chunks.retain(|digest, _| kept.contains(digest));
+        if let Some(head) = self.pending_head.take_if(|head| head.generation <= generation) {
+            self.digests = head.digests;
+            let digests = &self.digests;
+            self.chunks.retain(|digest, _| digests.contains(digest));
         }
         context.world.generation = generation;
         declare_endpoints(context.world, &catalogue);
@@ -258,9 +266,9 @@
 
     fn update_watch(&mut self, context: &mut Context<'_>) {
         let hold = is_gateway(context);
-        if hold != self.watching || !self.told {
+        if hold != self.watching || !self.has_requested_watch {
             self.watching = hold;
-            self.told = true;
+            self.has_requested_watch = true;
             context.emit(Effect::WatchConfiguration { hold });
         }
     }
--- a/crates/policy/src/entry.rs
+++ b/crates/policy/src/entry.rs
@@ -1,8 +1,8 @@
-//! Which cell a request asks, and what happens when its home is silent.
+//! Sends each request to a cell, or bypasses a home that does not answer.
 //!
-//! Invariant: every admitted request ends in exactly one of a dispatch or a refusal by this VM,
-//! whatever its home does. A silent home is bypassed with a local decision: its death costs the
-//! quality of a few decisions and no request. Requests in flight are told to a cell's home
+//! Invariant: every admitted request ends in exactly one dispatch or refusal by this VM, whatever its
+//! home does. A home that does not answer is bypassed with a local decision: its failure lowers the
+//! quality of a few decisions and costs no request. Requests in flight are reported to a cell's home
 //! whenever the home changes and every few seconds, so that a lost message cannot leak a slot.
 
 use crate::layout::{CellLayout, group_of, split_cell};
@@ -15,16 +15,16 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A home that has not answered for this long is bypassed, in milliseconds.
-const SILENCE_MILLIS: u64 = 250;
-/// A queued request asks again after this long, in milliseconds, to notice a dead home.
-const RECHECK_MILLIS: u64 = 500;
-/// A silent home of another data centre is passed over this long, in milliseconds.
-const SUSPECT_MILLIS: u64 = 2_000;
-/// Period of telling homes what is in flight, in milliseconds.
-const RECONCILE_MILLIS: u64 = 5_000;
-/// Cells of one data centre that a request asks before it is refused.
-const CELLS_TRIED: usize = 2;
+/// A home that has not answered within this time is bypassed.
+const HOME_ANSWER_TIMEOUT_MILLIS: u64 = 250;
+/// Interval at which a queued request queries its home again, to notice a failed home.
+const QUEUE_POLL_INTERVAL_MILLIS: u64 = 500;
+/// A home of another data centre that did not answer is skipped for this long.
+const HOME_SUSPICION_MILLIS: u64 = 2_000;
+/// Interval between reports of the requests in flight to the homes.
+const RECONCILE_INTERVAL_MILLIS: u64 = 5_000;
+/// Cells of one data centre that a request tries before it is refused.
+const MAX_CELLS_PER_DATA_CENTRE: usize = 2;
 
 /// One request between admission and its end.
 #[derive(Debug, Clone)]
@@ -32,26 +32,26 @@
     arrival: Arrival,
     cell: String,
     home: String,
-    tried: BTreeSet<String>,
+    tried_cells: BTreeSet<String>,
     acknowledged: bool,
-    check_at: Moment,
+    next_check_at: Moment,
     may_move: bool,
     endpoint: Option<String>,
     started: bool,
 }
 
-/// State of the entry plug-in: the requests that this VM has open.
+/// State of the entry plug-in: the requests that are open at this VM.
 #[derive(Debug)]
 pub struct RequestTracker {
     layout: CellLayout,
     generation: u64,
     membership: u64,
-    reconcile_at: Moment,
+    next_reconcile_at: Moment,
     open: BTreeMap<u64, OpenRequest>,
-    told: BTreeSet<String>,
-    /// Homes in other data centres that were silent, and until when they are passed over.
-    silent: BTreeMap<String, Moment>,
-    /// Decisions made here because a home was silent.
+    reported_cells: BTreeSet<String>,
+    /// Homes in other data centres that did not answer, and until when they are skipped.
+    unreachable_homes: BTreeMap<String, Moment>,
+    /// Number of decisions made locally because a home did not answer.
     pub bypassed: u64,
 }
 
@@ -61,15 +61,15 @@
             layout: CellLayout::default(),
             generation: 0,
             membership: 0,
-            reconcile_at: Moment(0),
+            next_reconcile_at: Moment(0),
             open: BTreeMap::new(),
-            told: BTreeSet::new(),
-            silent: BTreeMap::new(),
+            reported_cells: BTreeSet::new(),
+            unreachable_homes: BTreeMap::new(),
             bypassed: 0,
         }
     }
 
-    /// Requests that are open.
+    /// Returns the number of open requests.
     pub fn open_count(&self) -> usize {
         self.open.len()
     }
@@ -81,11 +81,13 @@
         }
         match event {
             Event::Admitted(arrival) => self.admit(context, arrival),
-            Event::Progress { request, outcome } => self.progress(context, *request, *outcome),
-            Event::Receive { from, message: Message::Grant(grant) } => self.granted(context, from, grant),
-            Event::Receive { message: Message::Queued { request }, .. } => self.queued(context, *request),
+            Event::Progress { request, outcome } => self.apply_progress(context, *request, *outcome),
+            Event::Receive { from, message: Message::Grant(grant) } => self.apply_grant(context, from, grant),
+            Event::Receive { message: Message::Queued { request }, .. } => {
+                self.record_queued(context, *request);
+            }
             Event::Receive { message: Message::Refusal { request, reason, retry_after_millis }, .. } => {
-                self.refused(context, *request, *reason, *retry_after_millis);
+                self.apply_refusal(context, *request, *reason, *retry_after_millis);
             }
             Event::Tick => self.tick(context),
             _ => {}
@@ -97,59 +99,69 @@
             arrival: arrival.clone(),
             cell: String::new(),
             home: String::new(),
-            tried: BTreeSet::new(),
+            tried_cells: BTreeSet::new(),
             acknowledged: false,
-            check_at: context.now,
+            next_check_at: context.now,
             may_move: false,
             endpoint: None,
             started: false,
         };
         self.open.insert(arrival.request, request);
-        self.ask_next_cell(context, arrival.request, RefusalKind::NoEndpoint, 0);
+        self.try_next_cell(context, arrival.request, RefusalKind::NoEndpoint, 0);
     }
 
-    /// Asks the next cell that has not been asked; refuses if there is none.
-    fn ask_next_cell(&mut self, context: &mut Context<'_>, number: u64, reason: RefusalKind, wait: u64) {
-        let Some(request) = self.open.get_mut(&number) else { return };
-        let near = &context.world.data_centre;
-        let gathers = placement(&context.world.variant).is_some_and(|variant| variant.gathers);
-        let mut cells = cells_to_ask(&self.layout, near, request, gathers, reason);
+    /// Sends the request to the next untried cell; refuses it if there is none.
+    fn try_next_cell(
+        &mut self,
+        context: &mut Context<'_>,
+        request_id: u64,
+        reason: RefusalKind,
+        retry_millis: u64,
+    ) {
+        let Some(request) = self.open.get_mut(&request_id) else { return };
+        let own_centre = &context.world.data_centre;
+        let has_region_affinity =
+            placement(&context.world.variant).is_some_and(|variant| variant.has_region_affinity);
+        let mut cells = untried_cells(&self.layout, own_centre, request, has_region_affinity, reason);
         let Some(cell) = cells.next().map(str::to_owned) else {
             drop(cells);
-            self.open.remove(&number);
-            let millis = if wait == 0 { RECHECK_MILLIS } else { wait };
-            refuse(context, number, reason, millis);
+            self.open.remove(&request_id);
+            let millis = if retry_millis == 0 { QUEUE_POLL_INTERVAL_MILLIS } else { retry_millis };
+            refuse(context, request_id, reason, millis);
             return;
         };
         drop(cells);
-        request.tried.insert(cell.clone());
+        request.tried_cells.insert(cell.clone());
         request.cell = cell;
-        // Only what would be asked after a "busy" counts as another cell.
-        let may_move = cells_to_ask(&self.layout, near, request, gathers, RefusalKind::Busy).next().is_some();
+        // Only a cell that would be tried after a refusal as `Busy` is an alternative.
+        let may_move =
+            untried_cells(&self.layout, own_centre, request, has_region_affinity, RefusalKind::Busy)
+                .next()
+                .is_some();
         request.may_move = may_move;
-        self.ask(context, number);
+        self.query_home(context, request_id);
     }
 
-    /// Asks the present home of the request's cell.
-    fn ask(&mut self, context: &mut Context<'_>, number: u64) {
-        let Some(request) = self.open.get_mut(&number) else { return };
+    /// Sends the request to the current home of its cell.
+    fn query_home(&mut self, context: &mut Context<'_>, request_id: u64) {
+        let Some(request) = self.open.get_mut(&request_id) else { return };
         let (_, centre) = split_cell(&request.cell);
         let Some(home) = context.world.holder(&request.cell, centre, context.now).map(str::to_owned) else {
-            self.bypass(context, number);
+            self.bypass(context, request_id);
             return;
         };
-        let far = centre != context.world.data_centre;
-        let suspect = self.silent.get(&home).is_some_and(|until| context.now < *until);
-        if far && suspect && request.may_move {
-            self.ask_next_cell(context, number, RefusalKind::Busy, 0);
+        let is_remote = centre != context.world.data_centre;
+        let is_suspected = self.unreachable_homes.get(&home).is_some_and(|until| context.now < *until);
+        if is_remote && is_suspected && request.may_move {
+            self.try_next_cell(context, request_id, RefusalKind::Busy, 0);
             return;
         }
         request.home.clone_from(&home);
         request.acknowledged = false;
-        request.check_at = context.now.after_millis(SILENCE_MILLIS);
+        request.next_check_at = context.now.after_millis(HOME_ANSWER_TIMEOUT_MILLIS);
         let arrival = &request.arrival;
-        let ask = Ask {
-            request: number,
+        let home_request = Ask {
+            request: request_id,
             cell: request.cell.clone(),
             account: arrival.account.clone(),
             keys: arrival.keys.clone(),
@@ -160,19 +172,20 @@
             exclude: arrival.exclude.clone(),
             may_move: request.may_move,
         };
-        context.send(&home, Message::Ask(ask));
+        context.send(&home, Message::Ask(home_request));
     }
 
-    /// Decides without the home: the endpoint that the prompt's hash prefers.
+    /// Places a request without the home, at the endpoint that the prompt's hash prefers.
     ///
-    /// A home in another data centre may be cut off, and its endpoints with it: then the own data
-    /// centre is asked next.
-    fn bypass(&mut self, context: &mut Context<'_>, number: u64) {
-        let Some(request) = self.open.get_mut(&number) else { return };
-        let far = split_cell(&request.cell).1 != context.world.data_centre;
-        if far && request.may_move {
-            self.silent.insert(request.home.clone(), context.now.after_millis(SUSPECT_MILLIS));
-            self.ask_next_cell(context, number, RefusalKind::Busy, 0);
+    /// A home in another data centre may be cut off together with its endpoints; in that case a cell of
+    /// the own data centre is tried next.
+    fn bypass(&mut self, context: &mut Context<'_>, request_id: u64) {
+        let Some(request) = self.open.get_mut(&request_id) else { return };
+        let is_remote = split_cell(&request.cell).1 != context.world.data_centre;
+        if is_remote && request.may_move {
+            self.unreachable_homes
+                .insert(request.home.clone(), context.now.after_millis(HOME_SUSPICION_MILLIS));
+            self.try_next_cell(context, request_id, RefusalKind::Busy, 0);
             return;
         }
         let world = &*context.world;
@@ -183,18 +196,22 @@
         });
         let group = prompt_group(&request.arrival);
         let Some(endpoint) = rendezvous(&group.to_string(), usable.map(String::as_str)) else {
-            self.ask_next_cell(context, number, RefusalKind::NoEndpoint, 0);
+            self.try_next_cell(context, request_id, RefusalKind::NoEndpoint, 0);
             return;
         };
         self.bypassed += 1;
         request.endpoint = Some(endpoint.to_owned());
-        let effect =
-            Effect::Dispatch { request: number, endpoint: endpoint.to_owned(), import: None, priority: 0 };
+        let effect = Effect::Dispatch {
+            request: request_id,
+            endpoint: endpoint.to_owned(),
+            import: None,
+            priority: 0,
+        };
         context.log("home.bypassed", format!("{} {}", request.cell, request.home));
         context.emit(effect);
     }
 
-    fn granted(&mut self, context: &mut Context<'_>, from: &str, grant: &Grant) {
+    fn apply_grant(&mut self, context: &mut Context<'_>, from: &str, grant: &Grant) {
         match self.open.get_mut(&grant.request) {
             Some(request) if request.endpoint.is_none() => {
                 request.endpoint = Some(grant.endpoint.clone());
@@ -206,11 +223,11 @@
                     priority: grant.priority,
                 });
             }
-            // The grant was sent again because a question crossed with it.
+            // The home repeated the grant because a query crossed with it.
             Some(request) if request.endpoint.as_ref() == Some(&grant.endpoint) => {}
-            // Nobody waits for it any more, or another endpoint works on it: give the slot back.
-            other => {
-                let cell = other.map(|request| request.cell.clone());
+            // The request is gone, or another endpoint processes it: return the slot.
+            unwanted => {
+                let cell = unwanted.map(|request| request.cell.clone());
                 let cell = cell.or_else(|| self.layout.cell_of(&grant.endpoint).map(str::to_owned));
                 if let Some(cell) = cell {
                     let message =
@@ -221,91 +238,97 @@
         }
     }
 
-    fn queued(&mut self, context: &Context<'_>, number: u64) {
-        if let Some(request) = self.open.get_mut(&number) {
+    fn record_queued(&mut self, context: &Context<'_>, request_id: u64) {
+        if let Some(request) = self.open.get_mut(&request_id) {
             request.acknowledged = true;
-            request.check_at = context.now.after_millis(RECHECK_MILLIS);
+            request.next_check_at = context.now.after_millis(QUEUE_POLL_INTERVAL_MILLIS);
         }
     }
 
-    fn refused(&mut self, context: &mut Context<'_>, number: u64, reason: RefusalKind, wait: u64) {
-        if self.open.get(&number).is_some_and(|request| request.endpoint.is_none()) {
-            self.ask_next_cell(context, number, reason, wait);
+    fn apply_refusal(
+        &mut self,
+        context: &mut Context<'_>,
+        request_id: u64,
+        reason: RefusalKind,
+        retry_millis: u64,
+    ) {
+        if self.open.get(&request_id).is_some_and(|request| request.endpoint.is_none()) {
+            self.try_next_cell(context, request_id, reason, retry_millis);
         }
     }
 
-    fn progress(&mut self, context: &mut Context<'_>, number: u64, outcome: Outcome) {
-        let Some(request) = self.open.get_mut(&number) else { return };
+    fn apply_progress(&mut self, context: &mut Context<'_>, request_id: u64, outcome: Outcome) {
+        let Some(request) = self.open.get_mut(&request_id) else { return };
         let (cell, home) = (request.cell.clone(), request.home.clone());
         if matches!(outcome, Outcome::FirstToken(_)) {
             request.started = true;
         } else {
-            self.open.remove(&number);
+            self.open.remove(&request_id);
         }
         if !home.is_empty() {
-            context.send(&home, Message::Progress { cell, request: number, outcome });
+            context.send(&home, Message::Progress { cell, request: request_id, outcome });
         }
     }
 
     fn tick(&mut self, context: &mut Context<'_>) {
         if self.membership != context.world.membership {
             self.membership = context.world.membership;
-            self.follow_homes(context);
+            self.update_homes(context);
         }
-        if context.now >= self.reconcile_at {
-            self.reconcile_at = context.now.after_millis(RECONCILE_MILLIS);
+        if context.now >= self.next_reconcile_at {
+            self.next_reconcile_at = context.now.after_millis(RECONCILE_INTERVAL_MILLIS);
             self.reconcile(context, None);
         }
-        let due: Vec<(u64, bool)> = self
+        let due_requests: Vec<(u64, bool)> = self
             .open
             .iter()
-            .filter(|(_, request)| request.endpoint.is_none() && context.now >= request.check_at)
-            .map(|(number, request)| (*number, request.acknowledged))
+            .filter(|(_, request)| request.endpoint.is_none() && context.now >= request.next_check_at)
+            .map(|(request_id, request)| (*request_id, request.acknowledged))
             .collect();
-        for (number, acknowledged) in due {
+        for (request_id, acknowledged) in due_requests {
             if acknowledged {
-                self.ask(context, number);
+                self.query_home(context, request_id);
             } else {
-                self.bypass(context, number);
+                self.bypass(context, request_id);
             }
         }
     }
 
-    /// Tells new homes what is in flight, then asks them for what was asked of the old ones.
-    fn follow_homes(&mut self, context: &mut Context<'_>) {
-        let mut moved = BTreeMap::new();
+    /// Reports the requests in flight to new homes, then resends the waiting requests to them.
+    fn update_homes(&mut self, context: &mut Context<'_>) {
+        let mut changed_homes = BTreeMap::new();
         for request in self.open.values_mut() {
             let (_, centre) = split_cell(&request.cell);
             let home = context.world.holder(&request.cell, centre, context.now).unwrap_or_default();
             if request.home != home && !home.is_empty() {
                 home.clone_into(&mut request.home);
-                moved.insert(request.cell.clone(), home.to_owned());
+                changed_homes.insert(request.cell.clone(), home.to_owned());
             }
         }
-        for (cell, home) in &moved {
+        for (cell, home) in &changed_homes {
             self.reconcile(context, Some((cell, home)));
         }
-        let waiting: Vec<u64> = self
+        let waiting_ids: Vec<u64> = self
             .open
             .iter()
-            .filter(|(_, request)| request.endpoint.is_none() && moved.contains_key(&request.cell))
-            .map(|(number, _)| *number)
+            .filter(|(_, request)| request.endpoint.is_none() && changed_homes.contains_key(&request.cell))
+            .map(|(request_id, _)| *request_id)
             .collect();
-        for number in waiting {
-            self.ask(context, number);
+        for request_id in waiting_ids {
+            self.query_home(context, request_id);
         }
     }
 
-    /// Tells homes all that is in flight: one cell's, or every cell's.
-    fn reconcile(&mut self, context: &mut Context<'_>, only: Option<(&str, &str)>) {
+    /// Reports all requests in flight to the homes, for one cell or for all cells.
+    fn reconcile(&mut self, context: &mut Context<'_>, target: Option<(&str, &str)>) {
         let mut rows: BTreeMap<(String, String), Vec<InFlightRow>> = BTreeMap::new();
-        for (number, request) in &self.open {
+        for (request_id, request) in &self.open {
             let Some(endpoint) = &request.endpoint else { continue };
-            if only.is_some_and(|(cell, _)| cell != request.cell) {
+            if target.is_some_and(|(cell, _)| cell != request.cell) {
                 continue;
             }
             let row = InFlightRow {
-                request: *number,
+                request: *request_id,
                 endpoint: endpoint.clone(),
                 account: request.arrival.account.clone(),
                 prompt_tokens: request.arrival.prompt_tokens,
@@ -313,13 +336,13 @@
             };
             rows.entry((request.cell.clone(), request.home.clone())).or_default().push(row);
         }
-        match only {
+        match target {
             Some((cell, home)) => {
                 rows.entry((cell.to_owned(), home.to_owned())).or_default();
             }
-            // A cell that had rows at the last telling is told once more that it has none.
+            // A cell that had rows in the last report gets one more report without rows.
             None => {
-                for cell in std::mem::take(&mut self.told) {
+                for cell in std::mem::take(&mut self.reported_cells) {
                     let (_, centre) = split_cell(&cell);
                     if let Some(home) = context.world.holder(&cell, centre, context.now) {
                         rows.entry((cell.clone(), home.to_owned())).or_default();
@@ -329,7 +352,7 @@
         }
         for ((cell, home), requests) in rows {
             if !requests.is_empty() {
-                self.told.insert(cell.clone());
+                self.reported_cells.insert(cell.clone());
             }
             if !home.is_empty() {
                 context.send(&home, Message::InFlight { cell, requests });
@@ -338,28 +361,37 @@
     }
 }
 
-/// Cells that a request may still ask, after a refusal for `reason`.
-fn cells_to_ask<'a>(
+/// Returns the untried cells for a request after a refusal for `reason`.
+fn untried_cells<'a>(
     layout: &'a CellLayout,
-    near: &'a str,
+    own_centre: &'a str,
     request: &'a OpenRequest,
-    gathers: bool,
+    has_region_affinity: bool,
     reason: RefusalKind,
 ) -> impl Iterator<Item = &'a str> {
     let group = prompt_group(&request.arrival);
     let pool = &request.arrival.pool;
-    let centres = layout.centres(pool, near, group, gathers && !request.arrival.keys.is_empty());
-    centres
+    let data_centre_order = layout.data_centre_order(
+        pool,
+        own_centre,
+        group,
+        has_region_affinity && !request.arrival.keys.is_empty(),
+    );
+    data_centre_order
         .into_iter()
         .enumerate()
-        // Only a lack of endpoints is a reason to go further than the own data centre.
-        .filter(move |(place, centre)| reason == RefusalKind::NoEndpoint || *place == 0 || *centre == near)
-        .flat_map(move |(_, centre)| layout.order(pool, centre, group).into_iter().take(CELLS_TRIED))
-        .filter(|cell| !request.tried.contains(*cell))
+        // Only a lack of endpoints justifies trying data centres beyond the first and the own one.
+        .filter(move |(index, centre)| {
+            reason == RefusalKind::NoEndpoint || *index == 0 || *centre == own_centre
+        })
+        .flat_map(move |(_, centre)| {
+            layout.cell_order(pool, centre, group).into_iter().take(MAX_CELLS_PER_DATA_CENTRE)
+        })
+        .filter(|cell| !request.tried_cells.contains(*cell))
 }
 
 fn prompt_group(arrival: &Arrival) -> u64 {
-    // A prompt without a whole piece has nothing to return to: it is spread.
+    // A prompt without a whole block has no cached state to return to: it is spread over the cells.
     arrival.keys.first().map_or_else(
         || group_of(spread(&arrival.account, &arrival.request.to_string())),
         |key| group_of(*key),
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -1,45 +1,46 @@
 //! Running estimates of how long a unit of work takes.
 //!
-//! Invariant: an estimate is always positive and finite. An exponential average follows a link
-//! that slows to a tenth within a few samples and needs no history.
+//! Invariant: an estimate is always positive and finite. The exponential average follows a link that
+//! slows to a tenth of its speed within a few samples and needs no history.
 
-/// Weight of a new sample.
+/// Weight of a new sample in the average.
 const SAMPLE_WEIGHT: f64 = 0.25;
 
-/// Part of the way back to the guess that one relaxation goes.
-const RELAX_WEIGHT: f64 = 0.05;
+/// Fraction of the distance to the initial estimate that one relaxation covers.
+const RELAX_FRACTION: f64 = 0.05;
 
-/// Microseconds for one unit (a token, a piece).
+/// Estimated microseconds for one unit (a token, a block).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct UnitCost {
-    /// The present estimate.
+    /// The current estimate.
     pub micros: f64,
     sampled: bool,
 }
 
 impl UnitCost {
-    /// An estimate that the first sample replaces.
-    pub(crate) const fn guess(micros: f64) -> Self {
+    /// Returns an estimate that the first sample replaces.
+    pub(crate) const fn initial(micros: f64) -> Self {
         Self { micros, sampled: false }
     }
 
-    /// Takes in that `units` took `micros`.
-    pub(crate) fn sample(&mut self, units: f64, micros: u64) {
+    /// Records that `units` took `micros`.
+    pub(crate) fn record_sample(&mut self, units: f64, micros: u64) {
         if units <= 0.0 || micros == 0 {
             return;
         }
-        let seen = micros as f64 / units;
-        self.micros = if self.sampled { self.micros + SAMPLE_WEIGHT * (seen - self.micros) } else { seen };
+        let observed = micros as f64 / units;
+        self.micros =
+            if self.sampled { self.micros + SAMPLE_WEIGHT * (observed - self.micros) } else { observed };
         self.sampled = true;
     }
 
-    /// Goes a little back towards `guess`, so that what once was slow is tried again.
-    pub(crate) fn relax(&mut self, guess: f64) {
-        self.micros += RELAX_WEIGHT * (guess - self.micros);
+    /// Moves the estimate a little towards `initial_micros`, so that a slow link is tried again.
+    pub(crate) fn relax(&mut self, initial_micros: f64) {
+        self.micros += RELAX_FRACTION * (initial_micros - self.micros);
     }
 
-    /// Microseconds for `units`.
-    pub(crate) fn of(&self, units: f64) -> u64 {
+    /// Returns the estimated microseconds for `units`.
+    pub(crate) fn micros_for(&self, units: f64) -> u64 {
         (self.micros * units) as u64
     }
 }
--- a/crates/policy/src/fair_queue.rs
+++ b/crates/policy/src/fair_queue.rs
@@ -1,52 +1,53 @@
 //! Start-time fair queueing over client accounts.
 //!
-//! Invariant: among accounts that always wait, work is taken in proportion to their weights, and
-//! an account that was idle neither saves up nor owes. Chosen over deficit round robin because a
-//! request's cost is known only when it is placed, and over token buckets because idle share
-//! must be lent: the queue is work-conserving, and lent share is back at the next choice.
+//! Invariant: among accounts that always have waiting items, work is taken in proportion to their
+//! weights, and an account that was idle gains no credit from the idle time. Deficit round robin does
+//! not fit because a request's cost is known only when it is placed; token buckets do not fit because
+//! unused share must be lent. The queue is work-conserving, and lent share is returned at the next
+//! choice.
 
 use spanfold_entity::Moment;
 use spanfold_kernel::AccountIndex;
 use std::collections::{BTreeMap, HashMap};
 
-/// The order within one account: higher priority first, then the earlier deadline, then arrival.
+/// Order within one account: higher priority first, then the earlier deadline, then arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct WaitingOrder(std::cmp::Reverse<i8>, Moment, u64);
+struct QueueKey(std::cmp::Reverse<i8>, Moment, u64);
 
 #[derive(Clone, Debug)]
-struct AccountLine<T> {
+struct AccountQueue<T> {
     weight: f64,
-    finish: f64,
-    items: BTreeMap<WaitingOrder, T>,
+    finish_time: f64,
+    items: BTreeMap<QueueKey, T>,
 }
 
 /// Waiting items of all accounts.
 ///
-/// Accounts with nothing waiting are kept apart: with 24,000 accounts, walking them on each choice
-/// would cost a hundred times the choice itself.
+/// Accounts with nothing waiting are stored separately: with 24,000 accounts, iterating over them on
+/// each choice would cost a hundred times the choice itself.
 #[derive(Clone, Debug)]
 pub struct FairQueue<T> {
-    lines: BTreeMap<AccountIndex, AccountLine<T>>,
-    /// When the last work of each idle account ends, in virtual time.
+    queues: BTreeMap<AccountIndex, AccountQueue<T>>,
+    /// Virtual finish time of each idle account's last work.
     idle: HashMap<AccountIndex, f64>,
-    /// The number of idle accounts at which those that owe nothing are forgotten.
-    forget_at: usize,
+    /// Number of idle accounts at which those whose finish time has passed are discarded.
+    prune_threshold: usize,
     virtual_time: f64,
     arrivals: u64,
 }
 
-/// Fewer idle accounts than this are not worth looking through.
-const FORGET_LEAST: usize = 64;
+/// Lower bound of the prune threshold: fewer idle accounts are not worth a pass.
+const MIN_PRUNE_THRESHOLD: usize = 64;
 
-/// A weight below this would let one item block its account for good.
-const LEAST_WEIGHT: f64 = 1e-6;
+/// Smallest weight: with a lower one, a single item would block its account for good.
+const MIN_WEIGHT: f64 = 1e-6;
 
 impl<T> Default for FairQueue<T> {
     fn default() -> Self {
         Self {
-            lines: BTreeMap::new(),
+            queues: BTreeMap::new(),
             idle: HashMap::new(),
-            forget_at: FORGET_LEAST,
+            prune_threshold: MIN_PRUNE_THRESHOLD,
             virtual_time: 0.0,
             arrivals: 0,
         }
@@ -54,7 +55,7 @@
 }
 
 impl<T> FairQueue<T> {
-    /// Adds an item of `account`, whose part of the whole is `weight`.
+    /// Adds an item of `account`, whose share of the whole is `weight`.
     ///
     /// # Examples
     /// ```
@@ -68,92 +69,96 @@
     /// }
     /// queue.push(small, 0.5, 0, Moment(9), 9);
     /// assert_eq!(queue.take(large, 0, 100.0), Some(0));
-    /// assert_eq!(queue.order()[0], small);
+    /// assert_eq!(queue.fair_order()[0], small);
     /// ```
     pub fn push(&mut self, account: AccountIndex, weight: f64, priority: i8, deadline: Moment, item: T) {
         self.arrivals += 1;
-        let order = WaitingOrder(std::cmp::Reverse(priority), deadline, self.arrivals);
+        let key = QueueKey(std::cmp::Reverse(priority), deadline, self.arrivals);
         let idle = &mut self.idle;
-        let line = self.lines.entry(account).or_insert_with(|| AccountLine {
+        let queue = self.queues.entry(account).or_insert_with(|| AccountQueue {
             weight,
-            finish: idle.remove(&account).unwrap_or(0.0),
+            finish_time: idle.remove(&account).unwrap_or(0.0),
             items: BTreeMap::new(),
         });
-        line.weight = weight.max(LEAST_WEIGHT);
-        line.items.insert(order, item);
+        queue.weight = weight.max(MIN_WEIGHT);
+        queue.items.insert(key, item);
     }
 
-    /// Accounts with waiting items, the one that is due first in front.
-    pub fn order(&self) -> Vec<AccountIndex> {
-        let mut order: Vec<_> =
-            self.lines.iter().map(|(account, line)| (line.finish.max(self.virtual_time), *account)).collect();
-        order.sort_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)));
-        order.into_iter().map(|(_, account)| account).collect()
+    /// Returns the accounts with waiting items, the next one to be served first.
+    pub fn fair_order(&self) -> Vec<AccountIndex> {
+        let mut finish_times: Vec<_> = self
+            .queues
+            .iter()
+            .map(|(account, queue)| (queue.finish_time.max(self.virtual_time), *account))
+            .collect();
+        finish_times.sort_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)));
+        finish_times.into_iter().map(|(_, account)| account).collect()
     }
 
-    /// The items of `account`, in its own order.
+    /// Returns the items of `account`, in that account's order.
     pub fn items(&self, account: AccountIndex) -> impl Iterator<Item = &T> {
-        self.lines.get(&account).into_iter().flat_map(|line| line.items.values())
+        self.queues.get(&account).into_iter().flat_map(|queue| queue.items.values())
     }
 
-    /// All items.
+    /// Returns all items.
     pub fn iter(&self) -> impl Iterator<Item = &T> {
-        self.lines.values().flat_map(|line| line.items.values())
+        self.queues.values().flat_map(|queue| queue.items.values())
     }
 
-    /// Takes the item at `place` in the line of `account` and charges its `cost`.
-    pub fn take(&mut self, account: AccountIndex, place: usize, cost: f64) -> Option<T> {
-        let line = self.lines.get_mut(&account)?;
-        let order = *line.items.keys().nth(place)?;
-        let item = line.items.remove(&order);
-        let start = line.finish.max(self.virtual_time);
-        line.finish = start + cost / line.weight;
+    /// Takes the item at `position` in the queue of `account` and charges its `cost`.
+    pub fn take(&mut self, account: AccountIndex, position: usize, cost: f64) -> Option<T> {
+        let queue = self.queues.get_mut(&account)?;
+        let key = *queue.items.keys().nth(position)?;
+        let item = queue.items.remove(&key);
+        let start = queue.finish_time.max(self.virtual_time);
+        queue.finish_time = start + cost / queue.weight;
         self.virtual_time = start;
-        self.forget_idle();
+        self.prune_idle();
         item
     }
 
-    /// Takes out all items that `gone` says are no longer wanted, uncharged.
-    pub fn remove_if(&mut self, gone: impl Fn(&T) -> bool) -> Vec<T> {
+    /// Removes all items for which `is_obsolete` holds, without a charge, and returns them.
+    pub fn remove_if(&mut self, is_obsolete: impl Fn(&T) -> bool) -> Vec<T> {
         let mut removed = Vec::new();
-        for line in self.lines.values_mut() {
-            let orders: Vec<_> = line.items.iter().filter(|(_, item)| gone(item)).map(|(o, _)| *o).collect();
-            removed.extend(orders.iter().filter_map(|order| line.items.remove(order)));
+        for queue in self.queues.values_mut() {
+            let keys: Vec<_> =
+                queue.items.iter().filter(|(_, item)| is_obsolete(item)).map(|(key, _)| *key).collect();
+            removed.extend(keys.iter().filter_map(|key| queue.items.remove(key)));
         }
-        self.forget_idle();
+        self.prune_idle();
         removed
     }
 
-    /// Sum of the weights of accounts with waiting items, with `account` counted in.
+    /// Returns the sum of the weights of `account` and of all others with waiting items.
     pub fn active_weight(&self, account: AccountIndex, weight: f64) -> f64 {
-        let others = self.lines.iter().filter(|(other, _)| **other != account);
-        others.map(|(_, line)| line.weight).sum::<f64>() + weight
+        let others = self.queues.iter().filter(|(other, _)| **other != account);
+        others.map(|(_, queue)| queue.weight).sum::<f64>() + weight
     }
 
-    /// The number of waiting items.
+    /// Returns the number of waiting items.
     pub fn len(&self) -> usize {
-        self.lines.values().map(|line| line.items.len()).sum()
+        self.queues.values().map(|queue| queue.items.len()).sum()
     }
 
-    /// Whether nothing waits.
+    /// Whether no item is waiting.
     pub fn is_empty(&self) -> bool {
-        self.lines.is_empty()
+        self.queues.is_empty()
     }
 
-    /// Sets accounts with nothing waiting apart, and forgets those that owe nothing.
-    fn forget_idle(&mut self) {
+    /// Moves accounts with nothing waiting to `idle`, and discards those whose finish time has passed.
+    fn prune_idle(&mut self) {
         let idle = &mut self.idle;
-        self.lines.retain(|account, line| {
-            if line.items.is_empty() {
-                idle.insert(*account, line.finish);
+        self.queues.retain(|account, queue| {
+            if queue.items.is_empty() {
+                idle.insert(*account, queue.finish_time);
             }
-            !line.items.is_empty()
+            !queue.items.is_empty()
         });
-        // Looked through only when they have doubled: a constant cost for each that came.
-        if idle.len() >= self.forget_at {
+        // A pass only when the number has doubled keeps the cost per idle account constant.
+        if idle.len() >= self.prune_threshold {
             let now = self.virtual_time;
-            idle.retain(|_, finish| *finish > now);
-            self.forget_at = (idle.len() * 2).max(FORGET_LEAST);
+            idle.retain(|_, finish_time| *finish_time > now);
+            self.prune_threshold = (idle.len() * 2).max(MIN_PRUNE_THRESHOLD);
         }
     }
 }
--- a/crates/policy/src/orders.rs
+++ b/crates/policy/src/orders.rs
@@ -1,14 +1,14 @@
-//! Orders to engines: which weight version to load.
+//! Orders engines to load weight versions.
 //!
-//! Invariant: an order is sent only while its sender's lease has a safe remainder by the sender's
-//! own clock, and bears the lease's fencing number. Engines that check the number refuse an old
-//! holder's orders. For those that do not, the next holder waits, by its own clock, until the old
-//! lease and the last order sent under it have run out; and an order states the target, so that
-//! one that comes twice changes nothing.
+//! Invariant: an order is sent only while enough of its sender's lease remains by the sender's own
+//! clock, and carries the lease's fencing number. Engines that check the number refuse orders of an
+//! earlier holder. For engines that do not, the next holder waits, by its own clock, until the old
+//! lease and the last order sent under it have expired. An order states the target version, so that a
+//! repeated order changes nothing.
 //!
-//! The lease is a record that its holder rewrites by compare-and-swap; others take it over when it
-//! has not changed for long enough. The platform's own leases would do the same, but a paused
-//! holder would not notice that one has lapsed. One gateway a data centre looks at the record.
+//! The lease is a record that its holder renews by compare-and-swap; another VM takes it over once it
+//! has been unchanged for long enough. The platform's own leases do the same, but a paused holder would
+//! not notice that one has expired. One gateway in each data centre polls the record.
 
 use crate::membership::is_gateway;
 use serde::{Deserialize, Serialize};
@@ -17,24 +17,24 @@
 use spanfold_kernel::{Context, Effect, Event, LoadedWeights, Message, World, register_plugin};
 use std::collections::BTreeMap;
 
-/// A lease that is not renewed lasts this long, in milliseconds.
-const LEASE_MILLIS: u64 = 6_000;
-/// A holder stops sending orders this long before its lease ends, in milliseconds.
-const MARGIN_MILLIS: u64 = 1_500;
-/// An order is not sent later than this after it was decided, in milliseconds.
-const ORDER_MILLIS: u64 = 1_000;
-/// Period of looking at the lease record, in milliseconds.
+/// Lifetime of a lease that is not renewed.
+const LEASE_LIFETIME_MILLIS: u64 = 6_000;
+/// A holder stops sending orders this long before its lease expires.
+const LEASE_MARGIN_MILLIS: u64 = 1_500;
+/// An order is not sent later than this after it was decided.
+const ORDER_LIFETIME_MILLIS: u64 = 1_000;
+/// Interval between reads of the lease record.
 const POLL_INTERVAL_MILLIS: u64 = 1_500;
-/// A new holder first hears for this long which engines are loading, in milliseconds.
-const SETTLE_MILLIS: u64 = 2_500;
-/// A load that takes longer does not count any more, in milliseconds.
-const LOAD_MILLIS: u64 = 120_000;
-/// An order that has shown no effect is given again after this long, in milliseconds.
+/// A new holder receives reports of loading engines for this long before its first order.
+const OBSERVATION_MILLIS: u64 = 2_500;
+/// A load that takes longer no longer counts as in progress.
+const LOAD_TIMEOUT_MILLIS: u64 = 120_000;
+/// An order without a visible effect is repeated after this long.
 const REPEAT_INTERVAL_MILLIS: u64 = 5_000;
-/// That an engine is as it should be is told this often.
-const TOLD_AGAIN: u8 = 4;
-/// Engines of the deployment that load at once: loading slows beyond that.
-const LOADS_AT_ONCE: usize = 3;
+/// Number of reports of an engine's return to the required version.
+const RECOVERY_REPORT_COUNT: u8 = 4;
+/// Engines of the deployment that load at once: loading slows down beyond that.
+const MAX_CONCURRENT_LOADS: usize = 3;
 
 /// The lease record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -45,125 +45,128 @@
     renewals: u64,
 }
 
-/// What the holder knows of one engine.
+/// The holder's record of one engine.
 #[derive(Clone, Debug)]
 struct EngineOrder {
     weights: LoadedWeights,
-    ordered_until: Moment,
-    repeat_at: Moment,
+    load_deadline: Moment,
+    next_order_at: Moment,
 }
 
 /// State of the orders plug-in.
 #[derive(Debug)]
-pub struct OrderDesk {
-    look_at: Moment,
+pub struct OrderScheduler {
+    next_poll_at: Moment,
     record: LeaseRecord,
     revision: u64,
-    /// Since when the record has stood unchanged, by this VM's clock.
+    /// Since when the record is unchanged, by this VM's clock.
     unchanged_since: Moment,
-    /// When each write on its way was first asked for; a lease counts from there.
-    asked: BTreeMap<String, Moment>,
-    safe_until: Moment,
-    settled_at: Moment,
+    /// When each pending write was first requested; a lease is valid from that moment.
+    requested_writes: BTreeMap<String, Moment>,
+    lease_safe_until: Moment,
+    orders_start_at: Moment,
     engines: BTreeMap<String, EngineOrder>,
-    /// Engines probed here that are or were not as they should be, and how often that is still told.
-    differing: BTreeMap<String, u8>,
+    /// Engines probed by this VM that differ from the required version, or did until recently. The
+    /// value is the number of reports left.
+    differing_engines: BTreeMap<String, u8>,
 }
 
-impl OrderDesk {
+impl OrderScheduler {
     fn start(_world: &World) -> Self {
         Self {
-            look_at: Moment(0),
+            next_poll_at: Moment(0),
             record: LeaseRecord::default(),
             revision: 0,
             unchanged_since: Moment(0),
-            asked: BTreeMap::new(),
-            safe_until: Moment(0),
-            settled_at: Moment::NEVER,
+            requested_writes: BTreeMap::new(),
+            lease_safe_until: Moment(0),
+            orders_start_at: Moment::NEVER,
             engines: BTreeMap::new(),
-            differing: BTreeMap::new(),
+            differing_engines: BTreeMap::new(),
         }
     }
 
     fn handle(&mut self, context: &mut Context<'_>, event: &Event) {
         match event {
             Event::Probed { endpoint, weights: Some(weights), .. } => {
-                self.tell_holder(context, endpoint, weights);
+                self.report_to_holder(context, endpoint, weights);
             }
             Event::Receive { message: Message::Weights { endpoint, weights }, .. } => {
-                self.note(context.now, endpoint, weights);
+                self.record_weights(context.now, endpoint, weights);
             }
-            Event::LeaseRead { revision, text } => self.lease_read(context, *revision, text),
-            Event::LeaseWritten { text } => self.lease_written(context, text),
+            Event::LeaseRead { revision, text } => self.apply_lease_read(context, *revision, text),
+            Event::LeaseWritten { text } => self.apply_lease_written(context, text),
             Event::Tick => self.tick(context),
             _ => {}
         }
     }
 
     fn tick(&mut self, context: &mut Context<'_>) {
-        if context.now >= self.look_at && is_gateway(context) {
-            self.look_at = context.now.after_millis(POLL_INTERVAL_MILLIS);
+        if context.now >= self.next_poll_at && is_gateway(context) {
+            self.next_poll_at = context.now.after_millis(POLL_INTERVAL_MILLIS);
             context.emit(Effect::ReadLease);
         }
-        if context.now < self.safe_until && context.now >= self.settled_at {
-            self.give_orders(context);
+        if context.now < self.lease_safe_until && context.now >= self.orders_start_at {
+            self.send_orders(context);
         }
     }
 
-    fn lease_read(&mut self, context: &mut Context<'_>, revision: u64, text: &str) {
+    fn apply_lease_read(&mut self, context: &mut Context<'_>, revision: u64, text: &str) {
         if revision != self.revision || revision == 0 {
             self.record = serde_json::from_str(text).unwrap_or_default();
             self.revision = revision;
             self.unchanged_since = context.now;
             context.world.orders_holder.clone_from(&self.record.holder);
         }
-        let own =
+        let is_own =
             self.record.holder == context.world.me && self.record.incarnation == context.world.incarnation;
-        let run_out = self.unchanged_since.after_millis(LEASE_MILLIS + ORDER_MILLIS);
-        let free = revision == 0 || context.now >= run_out;
-        if !is_gateway(context) || !(own || free) {
+        let lease_expires_at =
+            self.unchanged_since.after_millis(LEASE_LIFETIME_MILLIS + ORDER_LIFETIME_MILLIS);
+        let is_free = revision == 0 || context.now >= lease_expires_at;
+        if !is_gateway(context) || !(is_own || is_free) {
             return;
         }
         let record = LeaseRecord {
             holder: context.world.me.clone(),
             incarnation: context.world.incarnation,
-            fencing: self.record.fencing + u64::from(!own),
-            renewals: if own { self.record.renewals + 1 } else { 0 },
+            fencing: self.record.fencing + u64::from(!is_own),
+            renewals: if is_own { self.record.renewals + 1 } else { 0 },
         };
         if let Ok(text) = serde_json::to_string(&record) {
-            self.asked.entry(text.clone()).or_insert(context.now);
+            self.requested_writes.entry(text.clone()).or_insert(context.now);
             context.emit(Effect::WriteLease { revision, text });
         }
     }
 
-    fn lease_written(&mut self, context: &mut Context<'_>, text: &str) {
-        let Some(asked_at) = self.asked.remove(text) else { return };
-        self.asked.retain(|_, at| *at > asked_at);
+    fn apply_lease_written(&mut self, context: &mut Context<'_>, text: &str) {
+        let Some(requested_at) = self.requested_writes.remove(text) else { return };
+        self.requested_writes.retain(|_, at| *at > requested_at);
         let record: LeaseRecord = serde_json::from_str(text).unwrap_or_default();
-        if record.fencing != self.record.fencing || self.settled_at == Moment::NEVER {
+        if record.fencing != self.record.fencing || self.orders_start_at == Moment::NEVER {
             context.log("orders.lease_taken", record.fencing.to_string());
             self.engines.clear();
-            self.settled_at = context.now.after_millis(SETTLE_MILLIS);
+            self.orders_start_at = context.now.after_millis(OBSERVATION_MILLIS);
         }
         context.world.orders_holder.clone_from(&record.holder);
         self.record = record;
-        // The lease counts from before the write: the reply may have taken long.
-        self.safe_until = asked_at.after_millis(LEASE_MILLIS - MARGIN_MILLIS);
+        // The lease is valid from before the write, because the reply may have taken long.
+        self.lease_safe_until = requested_at.after_millis(LEASE_LIFETIME_MILLIS - LEASE_MARGIN_MILLIS);
     }
 
-    /// Who probes an engine tells the holder if it is not as it should be.
+    /// Reports a probed engine to the lease holder if it differs from the required version.
     ///
-    /// When it is again, that is told a few times, because it ends a load and may be lost. Telling
-    /// all that is well would bring one VM a message a second for each engine of the deployment.
-    fn tell_holder(&mut self, context: &mut Context<'_>, endpoint: &str, weights: &LoadedWeights) {
-        let Some(wanted) = wanted_version(context.world, endpoint) else { return };
-        if wanted != weights.version || weights.loading {
-            self.differing.insert(endpoint.to_owned(), TOLD_AGAIN);
+    /// When it no longer differs, this is reported a few times, because the report ends a load and may
+    /// be lost. Reporting all engines would send the holder one message a second for each engine of the
+    /// deployment.
+    fn report_to_holder(&mut self, context: &mut Context<'_>, endpoint: &str, weights: &LoadedWeights) {
+        let Some(required) = required_version(context.world, endpoint) else { return };
+        if required != weights.version || weights.loading {
+            self.differing_engines.insert(endpoint.to_owned(), RECOVERY_REPORT_COUNT);
         } else {
-            let Some(left) = self.differing.get_mut(endpoint) else { return };
-            *left -= 1;
-            if *left == 0 {
-                self.differing.remove(endpoint);
+            let Some(reports_left) = self.differing_engines.get_mut(endpoint) else { return };
+            *reports_left -= 1;
+            if *reports_left == 0 {
+                self.differing_engines.remove(endpoint);
             }
         }
         let holder = context.world.orders_holder.clone();
@@ -173,45 +176,45 @@
         }
     }
 
-    fn note(&mut self, now: Moment, endpoint: &str, weights: &LoadedWeights) {
+    fn record_weights(&mut self, now: Moment, endpoint: &str, weights: &LoadedWeights) {
         let order = self.engines.entry(endpoint.to_owned()).or_insert_with(|| EngineOrder {
             weights: weights.clone(),
-            ordered_until: Moment(0),
-            repeat_at: Moment(0),
+            load_deadline: Moment(0),
+            next_order_at: Moment(0),
         });
         let changed = order.weights.version != weights.version;
         order.weights = weights.clone();
         if changed && !weights.loading {
-            order.ordered_until = now;
+            order.load_deadline = now;
         }
     }
 
-    /// Orders loads until as many engines load as may at once.
-    fn give_orders(&mut self, context: &mut Context<'_>) {
+    /// Orders loads until the maximum number of engines is loading.
+    fn send_orders(&mut self, context: &mut Context<'_>) {
         let now = context.now;
-        let busy = |order: &EngineOrder| order.weights.loading || now < order.ordered_until;
-        let mut loading = self.engines.values().filter(|order| busy(order)).count();
-        let valid_until = self.safe_until.min(now.after_millis(ORDER_MILLIS));
+        let is_busy = |order: &EngineOrder| order.weights.loading || now < order.load_deadline;
+        let mut loading = self.engines.values().filter(|order| is_busy(order)).count();
+        let valid_until = self.lease_safe_until.min(now.after_millis(ORDER_LIFETIME_MILLIS));
         for (endpoint, order) in &mut self.engines {
-            let Some(target) = wanted_version(context.world, endpoint) else { continue };
-            if order.weights.version == target || order.weights.loading || now < order.repeat_at {
+            let Some(target) = required_version(context.world, endpoint) else { continue };
+            if order.weights.version == target || order.weights.loading || now < order.next_order_at {
                 continue;
             }
-            let counted = now < order.ordered_until;
-            if !counted && loading >= LOADS_AT_ONCE {
+            let is_loading = now < order.load_deadline;
+            if !is_loading && loading >= MAX_CONCURRENT_LOADS {
                 continue;
             }
-            loading += usize::from(!counted);
-            order.ordered_until = now.after_millis(LOAD_MILLIS);
-            order.repeat_at = now.after_millis(REPEAT_INTERVAL_MILLIS);
+            loading += usize::from(!is_loading);
+            order.load_deadline = now.after_millis(LOAD_TIMEOUT_MILLIS);
+            order.next_order_at = now.after_millis(REPEAT_INTERVAL_MILLIS);
             let (endpoint, fencing) = (endpoint.clone(), self.record.fencing);
             context.emit(Effect::Order { endpoint, target, fencing, valid_until });
         }
     }
 }
 
-/// The weight version that the configuration wants an engine to have.
-fn wanted_version(world: &World, endpoint: &str) -> Option<String> {
+/// Returns the weight version that the configuration requires an engine to have.
+fn required_version(world: &World, endpoint: &str) -> Option<String> {
     let declared = &world.catalogue.declarations;
     let endpoint =
         declared.endpoints.get(endpoint).filter(|endpoint| endpoint.kind == EndpointKind::Engine)?;
@@ -222,4 +225,4 @@
     Some(pool.version.clone())
 }
 
-register_plugin!("orders", 70, OrderDesk);
+register_plugin!("orders", 70, OrderScheduler);
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,77 +1,78 @@
 //! Placement variants: which endpoint of a cell gets a request.
 //!
-//! Invariant: a variant is a pure function of the choice it is shown. The baselines dispatch at
-//! once and leave queueing to the engine; the chosen design holds requests at the home, where
-//! fair share can still order them. Variants register themselves; a setting names the one used.
+//! Invariant: a variant is a pure function of its input. The baselines dispatch at once and leave
+//! queueing to the engine; `affinity` and `spanfold` queue requests at the home, where fair
+//! share can still reorder them. Variants register themselves; a setting selects the one in use.
 
 use spanfold_entity::Moment;
 
-/// Prefills that an engine may have before it: one at work, one to go on with.
-pub(crate) const PREFILL_DEPTH: u32 = 2;
-/// How much a microsecond of an engine's prefill counts next to one of the request's wait.
+/// Prefills granted to an engine at once: one in progress and one to continue with.
+pub(crate) const MAX_PREFILLS: u32 = 2;
+/// Weight of a microsecond of an engine's prefill relative to one of the request's wait.
 ///
-/// Waiting alone would scatter a prompt over all engines in a burst and evict others' pieces.
-const WORK_WEIGHT: f64 = 0.5;
+/// Minimizing the wait alone would scatter a prompt over all engines in a burst and evict blocks of
+/// other prompts.
+const PREFILL_WEIGHT: f64 = 0.5;
 
-/// One endpoint as it is shown to a variant.
+/// One endpoint, as a variant sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Candidate {
-    /// Requests it may work on at once.
+pub struct EndpointCandidate {
+    /// Requests it may process at once.
     pub slots: u32,
-    /// Requests granted to it and not ended.
+    /// Requests granted to it that have not finished.
     pub in_flight: u32,
-    /// Granted requests whose first token is not out.
-    pub depth: u32,
-    /// When its granted prefills should be done.
+    /// Granted requests that have not returned their first token.
+    pub prefills: u32,
+    /// When its granted prefills are expected to finish.
     pub free_at: Moment,
     /// Estimated microseconds to compute one prompt token.
     pub micros_per_token: f64,
-    /// Leading pieces of the prompt that it should hold.
-    pub held: u32,
+    /// Leading blocks of the prompt that are expected in its cache.
+    pub cached_blocks: u32,
     /// Estimated microseconds until a slot is free, if none is.
     pub slot_micros: u64,
 }
 
-/// The longest run of kept pieces.
+/// The longest run of a prompt's blocks in a store.
 #[derive(Clone, Copy, Debug)]
-pub struct KeptRun {
-    /// Leading pieces of the prompt that the store holds.
-    pub pieces: u32,
-    /// When the store's link should be free.
+pub struct StoredRun {
+    /// Leading blocks of the prompt that the store contains.
+    pub blocks: u32,
+    /// When the store's link is expected to be free.
     pub link_free_at: Moment,
-    /// Estimated microseconds to import one piece.
-    pub micros_per_piece: f64,
+    /// Estimated microseconds to import one block.
+    pub micros_per_block: f64,
 }
 
-/// All that a variant decides on.
+/// Input of a variant's choice.
 #[derive(Clone, Copy, Debug)]
-pub struct Choice<'a> {
-    /// The time.
+pub struct PlacementInput<'a> {
+    /// The current time.
     pub now: Moment,
     /// The endpoints, all of which take work.
-    pub candidates: &'a [Candidate],
+    pub candidates: &'a [EndpointCandidate],
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of one piece.
-    pub piece_tokens: u32,
-    /// What a store holds of it.
-    pub kept: Option<KeptRun>,
-    /// Counts the choices of this cell.
-    pub turn: u64,
-    /// Whether the account already has its share of the cell's slots.
+    /// Tokens of one block.
+    pub block_tokens: u32,
+    /// The prompt's longest run in a store.
+    pub stored_run: Option<StoredRun>,
+    /// Number of earlier choices of this cell.
+    pub choice_count: u64,
+    /// Whether the account already uses its share of the cell's slots or prefills.
     pub over_share: bool,
 }
 
-/// A variant's answer.
+/// A variant's decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Placed {
-    /// Which candidate.
+pub struct PlacementDecision {
+    /// Index of the chosen candidate.
     pub candidate: usize,
-    /// Pieces to import: first and end.
+    /// Blocks to import: first and end.
     pub import: Option<(u32, u32)>,
-    /// When the first token should be out.
+    /// When the first token is expected.
     pub first_token_at: Moment,
-    /// Microseconds of prefill that it takes.
+    /// Expected microseconds of prefill.
     pub prefill_micros: u64,
 }
 
@@ -80,14 +81,16 @@
 pub struct PlacementEntry {
     /// Its name in the settings.
     pub name: &'static str,
-    /// Whether requests are held at the home in fair order, and refused when hopeless.
-    pub holds: bool,
+    /// Whether requests queue at the home in fair order.
+    ///
+    /// Requests that cannot meet their deadline are then refused.
+    pub queues_at_home: bool,
     /// Whether a prompt belongs to one data centre of its region.
-    pub gathers: bool,
-    /// Whether pieces are exported to stores and imported.
-    pub keeps: bool,
-    /// Chooses; none means wait.
-    pub choose: fn(&Choice<'_>) -> Option<Placed>,
+    pub has_region_affinity: bool,
+    /// Whether blocks are exported to stores and imported.
+    pub uses_stores: bool,
+    /// Chooses an endpoint; none if the request has to wait.
+    pub choose: fn(&PlacementInput<'_>) -> Option<PlacementDecision>,
 }
 
 spanfold_kernel::inventory::collect!(PlacementEntry);
@@ -100,45 +103,45 @@
 
 register_placement!(PlacementEntry {
     name: "round-robin",
-    holds: false,
-    gathers: false,
-    keeps: false,
-    choose: |choice| {
-        let count = choice.candidates.len() as u64;
-        (count > 0).then(|| plain(choice, (choice.turn % count) as usize))
+    queues_at_home: false,
+    has_region_affinity: false,
+    uses_stores: false,
+    choose: |input| {
+        let count = input.candidates.len() as u64;
+        (count > 0).then(|| place_without_import(input, (input.choice_count % count) as usize))
     },
 });
 
 register_placement!(PlacementEntry {
     name: "least-loaded",
-    holds: false,
-    gathers: false,
-    keeps: false,
-    choose: |choice| {
-        let load = |(place, candidate): &(usize, &Candidate)| {
-            (u64::from(candidate.in_flight) * 1_000 / u64::from(candidate.slots.max(1)), *place)
+    queues_at_home: false,
+    has_region_affinity: false,
+    uses_stores: false,
+    choose: |input| {
+        let load = |(index, candidate): &(usize, &EndpointCandidate)| {
+            (u64::from(candidate.in_flight) * 1_000 / u64::from(candidate.slots.max(1)), *index)
         };
-        let (place, _) = choice.candidates.iter().enumerate().min_by_key(load)?;
-        Some(plain(choice, place))
+        let (index, _) = input.candidates.iter().enumerate().min_by_key(load)?;
+        Some(place_without_import(input, index))
     },
 });
 
 register_placement!(PlacementEntry {
     name: "affinity",
-    holds: true,
-    gathers: true,
-    keeps: false,
-    choose: earliest
+    queues_at_home: true,
+    has_region_affinity: true,
+    uses_stores: false,
+    choose: place_earliest
 });
 register_placement!(PlacementEntry {
     name: "spanfold",
-    holds: true,
-    gathers: true,
-    keeps: true,
-    choose: earliest
+    queues_at_home: true,
+    has_region_affinity: true,
+    uses_stores: true,
+    choose: place_earliest
 });
 
-/// Names of all variants, sorted.
+/// Returns the names of all variants, sorted.
 ///
 /// # Examples
 /// ```
@@ -152,83 +155,88 @@
     names
 }
 
-/// The variant called `name`.
+/// Returns the variant called `name`.
 pub(crate) fn placement(name: &str) -> Option<&'static PlacementEntry> {
     spanfold_kernel::inventory::iter::<PlacementEntry>.into_iter().find(|entry| entry.name == name)
 }
 
-/// No import, no preference.
-fn plain(choice: &Choice<'_>, place: usize) -> Placed {
-    estimate(choice, place, None)
+/// Places the request without an import.
+fn place_without_import(input: &PlacementInput<'_>, index: usize) -> PlacementDecision {
+    estimate(input, index, None)
 }
 
-/// Import or recompute by the estimated end of each, at the endpoint with the best score; waits
-/// for a busy endpoint if that is better still.
-fn earliest(choice: &Choice<'_>) -> Option<Placed> {
-    let best =
-        (0..choice.candidates.len()).flat_map(|place| options(choice, place)).min_by(|left, right| {
-            score(left).total_cmp(&score(right)).then(left.candidate.cmp(&right.candidate))
-        })?;
-    has_capacity(choice, &choice.candidates[best.candidate]).then_some(best)
-}
-
-/// Placements at one endpoint: compute what is missing, or import first.
-fn options(choice: &Choice<'_>, place: usize) -> impl Iterator<Item = Placed> {
-    let held = choice.candidates[place].held;
-    let import = choice.kept.filter(|kept| kept.pieces > held).map(|kept| (held, kept.pieces));
-    std::iter::once(estimate(choice, place, None)).chain(import.map(|run| estimate(choice, place, Some(run))))
-}
-
-fn estimate(choice: &Choice<'_>, place: usize, import: Option<(u32, u32)>) -> Placed {
-    let candidate = &choice.candidates[place];
-    let covered = import.map_or(candidate.held, |(_, end)| end).saturating_mul(choice.piece_tokens);
-    let missing = f64::from(choice.prompt_tokens.saturating_sub(covered).max(1));
-    let prefill_micros = (missing * candidate.micros_per_token) as u64;
-    let ready_at = match (import, choice.kept) {
-        (Some((first, end)), Some(kept)) => {
-            let transfer = (f64::from(end - first) * kept.micros_per_piece) as u64;
-            kept.link_free_at.max(choice.now).after_micros(transfer)
+/// Places the request where importing or recomputing gives the best score.
+///
+/// Waits for a busy endpoint if that scores best.
+fn place_earliest(input: &PlacementInput<'_>) -> Option<PlacementDecision> {
+    let best = (0..input.candidates.len()).flat_map(|index| placement_options(input, index)).min_by(
+        |left, right| score(left).total_cmp(&score(right)).then(left.candidate.cmp(&right.candidate)),
+    )?;
+    has_capacity(input, &input.candidates[best.candidate]).then_some(best)
+}
+
+/// Returns the placements at one endpoint: compute all missing blocks, or import first.
+fn placement_options(input: &PlacementInput<'_>, index: usize) -> impl Iterator<Item = PlacementDecision> {
+    let cached_blocks = input.candidates[index].cached_blocks;
+    let import = input
+        .stored_run
+        .filter(|stored_run| stored_run.blocks > cached_blocks)
+        .map(|stored_run| (cached_blocks, stored_run.blocks));
+    std::iter::once(estimate(input, index, None)).chain(import.map(|run| estimate(input, index, Some(run))))
+}
+
+fn estimate(input: &PlacementInput<'_>, index: usize, import: Option<(u32, u32)>) -> PlacementDecision {
+    let candidate = &input.candidates[index];
+    let covered_tokens =
+        import.map_or(candidate.cached_blocks, |(_, end)| end).saturating_mul(input.block_tokens);
+    let missing_tokens = f64::from(input.prompt_tokens.saturating_sub(covered_tokens).max(1));
+    let prefill_micros = (missing_tokens * candidate.micros_per_token) as u64;
+    let ready_at = match (import, input.stored_run) {
+        (Some((first, end)), Some(stored_run)) => {
+            let transfer_micros = (f64::from(end - first) * stored_run.micros_per_block) as u64;
+            stored_run.link_free_at.max(input.now).after_micros(transfer_micros)
         }
-        _ => choice.now,
+        _ => input.now,
     };
-    let start = prefill_at(choice, candidate).max(ready_at);
-    let first_token_at = slot_at(choice, candidate).max(start.after_micros(prefill_micros));
-    Placed { candidate: place, import, first_token_at, prefill_micros }
+    let start_at = prefill_start_at(input, candidate).max(ready_at);
+    let first_token_at = slot_free_at(input, candidate).max(start_at.after_micros(prefill_micros));
+    PlacementDecision { candidate: index, import, first_token_at, prefill_micros }
 }
 
-/// When the endpoint should begin a prefill.
+/// Returns when the endpoint is expected to start a prefill.
 ///
-/// A full endpoint that is overdue is expected to need as long again as it is late: otherwise a
-/// frozen one would look free at any moment, and requests would wait for it in vain.
-fn prefill_at(choice: &Choice<'_>, candidate: &Candidate) -> Moment {
-    let late = choice.now.micros_since(candidate.free_at);
-    if candidate.depth < PREFILL_DEPTH || late == 0 {
-        return candidate.free_at.max(choice.now);
+/// An overdue endpoint at its maximum of prefills is expected to need as much time again as it is late.
+/// Otherwise a frozen endpoint would always look about to become free, and requests would wait for it
+/// in vain.
+fn prefill_start_at(input: &PlacementInput<'_>, candidate: &EndpointCandidate) -> Moment {
+    let late_micros = input.now.micros_since(candidate.free_at);
+    if candidate.prefills < MAX_PREFILLS || late_micros == 0 {
+        return candidate.free_at.max(input.now);
     }
-    let piece = f64::from(choice.piece_tokens) * candidate.micros_per_token;
-    choice.now.after_micros(late.max(piece as u64))
+    let block_micros = f64::from(input.block_tokens) * candidate.micros_per_token;
+    input.now.after_micros(late_micros.max(block_micros as u64))
 }
 
-/// When a slot should be free.
-fn slot_at(choice: &Choice<'_>, candidate: &Candidate) -> Moment {
+/// Returns when a slot is expected to be free.
+fn slot_free_at(input: &PlacementInput<'_>, candidate: &EndpointCandidate) -> Moment {
     if candidate.in_flight < candidate.slots {
-        return choice.now;
+        return input.now;
     }
-    choice.now.after_micros(candidate.slot_micros)
+    input.now.after_micros(candidate.slot_micros)
 }
 
-fn score(placed: &Placed) -> f64 {
-    placed.first_token_at.0 as f64 + WORK_WEIGHT * placed.prefill_micros as f64
+fn score(decision: &PlacementDecision) -> f64 {
+    decision.first_token_at.0 as f64 + PREFILL_WEIGHT * decision.prefill_micros as f64
 }
 
 /// Whether the endpoint may be given one more request.
 ///
-/// One slot is left for accounts below their share: a lent slot would otherwise come back only
-/// when a long answer ends.
-fn has_capacity(choice: &Choice<'_>, candidate: &Candidate) -> bool {
-    let reserved = u32::from(choice.over_share && candidate.slots > 2);
-    // One more prefill is let in for an account below its share: the engine goes on with the higher
-    // priority after each piece, so that it waits for one piece and not for two prompts.
-    let depth = PREFILL_DEPTH + u32::from(!choice.over_share);
-    candidate.in_flight + reserved < candidate.slots && candidate.depth < depth
+/// One slot is reserved for accounts below their share: otherwise a lent slot would be returned only
+/// when a long answer finishes.
+fn has_capacity(input: &PlacementInput<'_>, candidate: &EndpointCandidate) -> bool {
+    let reserved_slots = u32::from(input.over_share && candidate.slots > 2);
+    // An account below its share may have one more prefill: the engine switches to the higher priority
+    // after each block, so that the account waits for one block and not for two prompts.
+    let max_prefills = MAX_PREFILLS + u32::from(!input.over_share);
+    candidate.in_flight + reserved_slots < candidate.slots && candidate.prefills < max_prefills
 }
--- a/crates/policy/tests/configuration.rs
+++ b/crates/policy/tests/configuration.rs
@@ -1,18 +1,18 @@
-//! How a VM comes to a newer configuration where sources fall silent and links are narrow.
+//! How a VM fetches a newer configuration while sources are unreachable and links are slow.
 
-// Linking the policies is what registers them.
+// Linking the crate registers its plug-ins.
 use spanfold_policy as _;
 
 use spanfold_entity::Moment;
 use spanfold_kernel::{Beat, Effect, Event, Kernel, ListedVm, Message, VmRole, VmState, World};
 
-/// The kernel of `vm-a3`, beside `vm-a1` and `vm-a2`.
-struct Vm {
+/// The kernel of `vm-a3`, with the peers `vm-a1` and `vm-a2`.
+struct TestVm {
     kernel: Kernel,
-    now: u64,
+    now_millis: u64,
 }
 
-impl Vm {
+impl TestVm {
     fn new() -> Self {
         let world = World {
             me: "vm-a3".into(),
@@ -23,7 +23,7 @@
             flush_millis: 40,
             ..World::default()
         };
-        let mut vm = Self { kernel: Kernel::new(world), now: 0 };
+        let mut vm = Self { kernel: Kernel::new(world), now_millis: 0 };
         let listed = |name: &str| ListedVm {
             name: name.into(),
             role: VmRole::Entry,
@@ -36,39 +36,39 @@
     }
 
     fn step(&mut self, event: Event) -> Vec<Effect> {
-        self.kernel.step(Moment(self.now * 1_000), event)
+        self.kernel.step(Moment(self.now_millis * 1_000), event)
     }
 
     fn receive(&mut self, from: &str, message: Message) -> Vec<Effect> {
         self.step(Event::Receive { from: from.into(), message })
     }
 
-    fn beat(&mut self, from: &str, generation: u64) -> Vec<Effect> {
-        let beat = Beat {
+    fn receive_heartbeat(&mut self, from: &str, generation: u64) -> Vec<Effect> {
+        let heartbeat = Beat {
             incarnation: 5,
             leaving: false,
             generation,
             unwell: Vec::new(),
             orders_holder: String::new(),
         };
-        self.receive(from, Message::Beat(beat))
+        self.receive(from, Message::Beat(heartbeat))
     }
 
-    fn head(&mut self, from: &str) -> Vec<Effect> {
+    fn receive_head(&mut self, from: &str) -> Vec<Effect> {
         let digests = vec!["d1".to_owned(), "d2".to_owned()];
         self.receive(from, Message::Head { generation: 5, digests })
     }
 
-    /// Lets time pass, with a beat a second of `beating`.
-    fn pass(&mut self, millis: u64, beating: &[&str]) -> Vec<Effect> {
+    /// Advances the time by `millis`, with one heartbeat a second from each VM of `live_vms`.
+    fn advance(&mut self, millis: u64, live_vms: &[&str]) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let end = self.now + millis;
-        while self.now < end {
-            self.now += 50;
+        let end = self.now_millis + millis;
+        while self.now_millis < end {
+            self.now_millis += 50;
             effects.extend(self.step(Event::Tick));
-            if self.now.is_multiple_of(1_000) {
-                for vm in beating {
-                    effects.extend(self.beat(vm, 5));
+            if self.now_millis.is_multiple_of(1_000) {
+                for vm in live_vms {
+                    effects.extend(self.receive_heartbeat(vm, 5));
                 }
             }
         }
@@ -76,60 +76,60 @@
     }
 }
 
-/// Whom chunks were asked from.
-fn asked(effects: &[Effect]) -> Vec<&str> {
-    let asked = effects.iter().filter_map(|effect| match effect {
+/// Returns the sources that chunks were requested from.
+fn chunk_sources(effects: &[Effect]) -> Vec<&str> {
+    let sources = effects.iter().filter_map(|effect| match effect {
         Effect::Send { to, message: Message::ChunkPull { .. } } => Some(to.as_str()),
         Effect::ReadChunks { .. } => Some("platform"),
         _ => None,
     });
-    asked.collect()
+    sources.collect()
 }
 
-/// A VM that had begun to fetch a generation from another one asked only that one, also after it was
-/// gone, and never took the generation.
+/// Guards against a VM that requests chunks of a generation only from the VM that it first fetched
+/// from: when that VM is gone, it never applies the generation.
 #[test]
-fn chunks_are_asked_from_another_vm_if_their_source_falls_silent() {
-    let mut vm = Vm::new();
-    vm.beat("vm-a1", 5);
-    assert_eq!(asked(&vm.head("vm-a1")), ["vm-a1"]);
-    let effects = vm.pass(10_000, &["vm-a2"]);
-    assert!(asked(&effects).contains(&"vm-a2"), "{:?}", asked(&effects));
+fn chunks_are_requested_from_another_vm_if_their_source_becomes_unreachable() {
+    let mut vm = TestVm::new();
+    vm.receive_heartbeat("vm-a1", 5);
+    assert_eq!(chunk_sources(&vm.receive_head("vm-a1")), ["vm-a1"]);
+    let effects = vm.advance(10_000, &["vm-a2"]);
+    assert!(chunk_sources(&effects).contains(&"vm-a2"), "{:?}", chunk_sources(&effects));
 }
 
 #[test]
-fn chunks_are_read_from_the_platform_if_it_tells_of_them_and_their_source_is_silent() {
-    let mut vm = Vm::new();
-    vm.beat("vm-a1", 5);
-    assert_eq!(asked(&vm.head("vm-a1")), ["vm-a1"]);
-    vm.pass(3_000, &[]);
+fn chunks_are_read_from_the_platform_if_their_source_is_unreachable() {
+    let mut vm = TestVm::new();
+    vm.receive_heartbeat("vm-a1", 5);
+    assert_eq!(chunk_sources(&vm.receive_head("vm-a1")), ["vm-a1"]);
+    vm.advance(3_000, &[]);
     let digests = vec!["d1".to_owned(), "d2".to_owned()];
     let mut effects = vm.step(Event::HeadRead { generation: 5, digests });
-    effects.extend(vm.pass(10_000, &[]));
-    assert!(asked(&effects).contains(&"platform"), "{:?}", asked(&effects));
+    effects.extend(vm.advance(10_000, &[]));
+    assert!(chunk_sources(&effects).contains(&"platform"), "{:?}", chunk_sources(&effects));
 }
 
-/// All chunks were asked for anew each half second, whatever was on its way: on a narrow link each
-/// answer slowed down the ones before it, and none came to its end.
+/// Guards against requesting all chunks again each half second while answers are in transit: on a slow
+/// link each answer delays the ones before it, and none completes.
 #[test]
-fn chunks_that_take_long_are_asked_for_ever_more_seldom() {
-    let mut vm = Vm::new();
+fn chunk_requests_back_off_while_no_chunk_arrives() {
+    let mut vm = TestVm::new();
     let digests = vec!["d1".to_owned(), "d2".to_owned()];
     let first = vm.step(Event::HeadRead { generation: 5, digests });
-    assert_eq!(asked(&first), ["platform"]);
-    let count = asked(&vm.pass(30_000, &[])).len();
+    assert_eq!(chunk_sources(&first), ["platform"]);
+    let count = chunk_sources(&vm.advance(30_000, &[])).len();
     assert!((3..=7).contains(&count), "{count}");
 }
 
 #[test]
-fn chunks_that_go_on_coming_are_not_asked_for_again() {
-    let mut vm = Vm::new();
+fn chunks_that_keep_arriving_are_not_requested_again() {
+    let mut vm = TestVm::new();
     let texts: Vec<String> = (0..40).map(|row| format!("# chunk {row}\n")).collect();
     let digests = texts.iter().map(|text| spanfold_declare::chunk_digest(text)).collect();
     vm.step(Event::HeadRead { generation: 5, digests });
     for text in &texts {
-        let effects = vm.pass(400, &[]);
-        assert!(asked(&effects).is_empty(), "{:?}", asked(&effects));
+        let effects = vm.advance(400, &[]);
+        assert!(chunk_sources(&effects).is_empty(), "{:?}", chunk_sources(&effects));
         vm.step(Event::ChunksRead { texts: vec![text.as_str().into()] });
     }
 }
--- a/crates/policy/tests/fake/mod.rs
+++ b/crates/policy/tests/fake/mod.rs
@@ -1,6 +1,7 @@
-//! A small fake around four kernels in two data centres: a network, a platform, four engines.
+//! A fake of four kernels in two data centres with a network, a platform and four engines.
 //!
-//! Invariants are checked as things happen; [`FakeFleet::check_ends`] checks those that need an end.
+//! Invariants are checked on each effect; [`FakeFleet::check_outcomes`] checks those that need a
+//! finished run.
 
 use spanfold_declare::{Bundle, Document};
 use spanfold_entity::Moment;
@@ -11,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Something that happens to the fleet.
+/// A fault or a call that is injected into the fleet.
 #[derive(Clone, Debug)]
 pub enum Fault {
     Attempt { vm: usize, key: u8, body: u8 },
@@ -20,7 +21,7 @@
     Restart(usize),
     Pause { vm: usize, millis: u64 },
     Cut { from: usize, to: usize, millis: u64 },
-    PlatformOut { millis: u64 },
+    PlatformOutage { millis: u64 },
     LoseReplies { count: u32 },
     Ready { engine: usize, ready: bool },
     RollBack,
@@ -30,10 +31,10 @@
 const VMS: [(&str, &str); 4] = [("vm-a1", "dc-a"), ("vm-a2", "dc-a"), ("vm-b1", "dc-b"), ("vm-b2", "dc-b")];
 const ENGINES: [(&str, &str); 4] =
     [("engine-a1", "dc-a"), ("engine-a2", "dc-a"), ("engine-b1", "dc-b"), ("engine-b2", "dc-b")];
-const TICK: u64 = 50;
-/// An endpoint that leaves gets no new work after this long, in milliseconds.
-const LEAVING_MILLIS: u64 = 3_000;
-const REQUEST_MILLIS: u64 = 5_000;
+const TICK_MILLIS: u64 = 50;
+/// An endpoint that becomes unready gets no new work after this time.
+const DEPARTURE_GRACE_MILLIS: u64 = 3_000;
+const REQUEST_TIMEOUT_MILLIS: u64 = 5_000;
 
 struct FakeVm {
     kernel: Kernel,
@@ -44,8 +45,8 @@
     generation: u64,
 }
 
-/// What is on its way to a VM of one incarnation.
-enum Parcel {
+/// A delivery to a VM of one incarnation.
+enum FakeDelivery {
     Event(Event),
     Run { request: u64 },
 }
@@ -56,20 +57,20 @@
     verdicts: Vec<ClaimVerdict>,
 }
 
-/// The fleet.
+/// A simulated fleet of four VMs.
 pub struct FakeFleet {
     now: u64,
     next_tick: u64,
-    order: u64,
+    last_sequence: u64,
     vms: Vec<FakeVm>,
-    parcels: BTreeMap<(u64, u64), (usize, u64, Parcel)>,
+    deliveries: BTreeMap<(u64, u64), (usize, u64, FakeDelivery)>,
     log: BTreeMap<(u32, u64), String>,
     head: (u64, Bundle),
-    old_head: (u64, Bundle),
-    accepted: u64,
-    platform_out_until: u64,
+    previous_head: (u64, Bundle),
+    accepted_generation: u64,
+    platform_outage_until: u64,
     lost_replies: u32,
-    cuts: BTreeMap<(usize, usize), u64>,
+    cut_links: BTreeMap<(usize, usize), u64>,
     unready_since: BTreeMap<&'static str, u64>,
     requests: u64,
     attempts: BTreeMap<u64, Attempt>,
@@ -89,7 +90,7 @@
     Bundle::cut(&Document::parse("fake", &text).unwrap())
 }
 
-fn fresh_kernel(vm: usize, incarnation: u64) -> Kernel {
+fn new_kernel(vm: usize, incarnation: u64) -> Kernel {
     let (name, centre) = VMS[vm];
     let mut world = World {
         me: name.into(),
@@ -109,7 +110,7 @@
     pub fn new() -> Self {
         let vms = (0..VMS.len())
             .map(|vm| FakeVm {
-                kernel: fresh_kernel(vm, 1),
+                kernel: new_kernel(vm, 1),
                 alive: true,
                 incarnation: 1,
                 paused_until: 0,
@@ -121,16 +122,16 @@
         let mut fleet = Self {
             now: 0,
             next_tick: 0,
-            order: 0,
+            last_sequence: 0,
             vms,
-            parcels: BTreeMap::new(),
+            deliveries: BTreeMap::new(),
             log: BTreeMap::new(),
-            old_head: head.clone(),
+            previous_head: head.clone(),
             head,
-            accepted: 1,
-            platform_out_until: 0,
+            accepted_generation: 1,
+            platform_outage_until: 0,
             lost_replies: 0,
-            cuts: BTreeMap::new(),
+            cut_links: BTreeMap::new(),
             unready_since: BTreeMap::new(),
             requests: 0,
             attempts: BTreeMap::new(),
@@ -138,13 +139,13 @@
             arrivals: BTreeMap::new(),
         };
         for vm in 0..VMS.len() {
-            fleet.greet(vm);
+            fleet.deliver_vm_list(vm);
         }
         fleet
     }
 
-    /// What a daemon does at its start: reads the VM list and, if it can, the configuration.
-    fn greet(&mut self, vm: usize) {
+    /// Delivers the VM list to a starting VM, as its daemon does.
+    fn deliver_vm_list(&mut self, vm: usize) {
         let row = |(name, centre): &(&str, &str)| ListedVm {
             name: (*name).into(),
             role: VmRole::Entry,
@@ -152,21 +153,21 @@
             data_centre: (*centre).into(),
             state: VmState::Live,
         };
-        self.post(vm, 1, Event::Listed { vms: VMS.iter().map(row).collect() });
+        self.schedule_event(vm, 1, Event::Listed { vms: VMS.iter().map(row).collect() });
     }
 
-    fn post(&mut self, vm: usize, delay: u64, event: Event) {
-        self.parcel(vm, delay, Parcel::Event(event));
+    fn schedule_event(&mut self, vm: usize, delay: u64, event: Event) {
+        self.schedule(vm, delay, FakeDelivery::Event(event));
     }
 
-    fn parcel(&mut self, vm: usize, delay: u64, parcel: Parcel) {
-        self.order += 1;
+    fn schedule(&mut self, vm: usize, delay: u64, delivery: FakeDelivery) {
+        self.last_sequence += 1;
         let incarnation = self.vms[vm].incarnation;
-        self.parcels.insert((self.now + delay, self.order), (vm, incarnation, parcel));
+        self.deliveries.insert((self.now + delay, self.last_sequence), (vm, incarnation, delivery));
     }
 
-    fn platform_out(&self) -> bool {
-        self.now < self.platform_out_until
+    fn is_platform_out(&self) -> bool {
+        self.now < self.platform_outage_until
     }
 
     pub fn inject(&mut self, fault: &Fault) {
@@ -177,20 +178,20 @@
             Fault::Restart(vm) => {
                 let incarnation = self.vms[vm].incarnation + 1;
                 self.vms[vm] = FakeVm {
-                    kernel: fresh_kernel(vm, incarnation),
+                    kernel: new_kernel(vm, incarnation),
                     alive: true,
                     incarnation,
                     paused_until: 0,
                     alive_since: self.now,
                     generation: 0,
                 };
-                self.greet(vm);
+                self.deliver_vm_list(vm);
             }
             Fault::Pause { vm, millis } => self.vms[vm].paused_until = self.now + millis,
             Fault::Cut { from, to, millis } => {
-                self.cuts.insert((from, to), self.now + millis);
+                self.cut_links.insert((from, to), self.now + millis);
             }
-            Fault::PlatformOut { millis } => self.platform_out_until = self.now + millis,
+            Fault::PlatformOutage { millis } => self.platform_outage_until = self.now + millis,
             Fault::LoseReplies { count } => self.lost_replies = count,
             Fault::Ready { engine, ready } => {
                 let name = ENGINES[engine].0;
@@ -200,11 +201,11 @@
                     self.unready_since.entry(name).or_insert(self.now);
                 }
             }
-            Fault::RollBack => self.head = self.old_head.clone(),
-            Fault::Change if !self.platform_out() && self.head.0 == self.accepted => {
-                self.old_head = self.head.clone();
-                self.accepted += 1;
-                self.head = (self.accepted, configuration(self.accepted));
+            Fault::RollBack => self.head = self.previous_head.clone(),
+            Fault::Change if !self.is_platform_out() && self.head.0 == self.accepted_generation => {
+                self.previous_head = self.head.clone();
+                self.accepted_generation += 1;
+                self.head = (self.accepted_generation, configuration(self.accepted_generation));
             }
             Fault::Change => {}
         }
@@ -219,12 +220,12 @@
         self.attempts.insert(self.requests, Attempt { key, nonce, verdicts: Vec::new() });
         let deadline = Moment((self.now + 3_000) * 1_000);
         let ticket = ClaimTicket { request: self.requests, key, body: u128::from(body), nonce, deadline };
-        self.post(vm, 0, Event::Claim(ticket));
+        self.schedule_event(vm, 0, Event::Claim(ticket));
     }
 
     fn arrive(&mut self, vm: usize, prompt: u64) {
         self.requests += 1;
-        // A daemon without a configuration refuses by itself.
+        // A daemon without a configuration refuses requests itself.
         if !self.vms[vm].alive || self.vms[vm].generation == 0 {
             return;
         }
@@ -233,32 +234,32 @@
             request: self.requests,
             account: "a".into(),
             pool: "p".into(),
-            keys: (0..3).map(|piece| (prompt + 1) << 48 | piece).collect(),
+            keys: (0..3).map(|block| (prompt + 1) << 48 | block).collect(),
             prompt_tokens: 3_100,
             max_tokens: 50,
-            deadline: Moment((self.now + REQUEST_MILLIS) * 1_000),
+            deadline: Moment((self.now + REQUEST_TIMEOUT_MILLIS) * 1_000),
             priority: 0,
             exclude: Vec::new(),
         };
-        self.post(vm, 0, Event::Arrive(arrival));
+        self.schedule_event(vm, 0, Event::Arrive(arrival));
     }
 
     pub fn run_until(&mut self, end: u64) -> Result<(), String> {
         loop {
-            let next_parcel = self.parcels.keys().next().map_or(u64::MAX, |(at, _)| *at);
-            let next = next_parcel.min(self.next_tick);
+            let next_delivery_at = self.deliveries.keys().next().map_or(u64::MAX, |(at, _)| *at);
+            let next = next_delivery_at.min(self.next_tick);
             if next > end {
                 self.now = end;
                 return Ok(());
             }
             self.now = self.now.max(next);
-            if next_parcel <= self.next_tick {
-                if let Some((_, (vm, incarnation, parcel))) = self.parcels.pop_first() {
-                    self.deliver(vm, incarnation, parcel)?;
+            if next_delivery_at <= self.next_tick {
+                if let Some((_, (vm, incarnation, delivery))) = self.deliveries.pop_first() {
+                    self.deliver(vm, incarnation, delivery)?;
                 }
                 continue;
             }
-            self.next_tick += TICK;
+            self.next_tick += TICK_MILLIS;
             for vm in 0..self.vms.len() {
                 if self.vms[vm].alive && self.now >= self.vms[vm].paused_until {
                     self.step(vm, Event::Tick)?;
@@ -267,31 +268,31 @@
         }
     }
 
-    fn deliver(&mut self, vm: usize, incarnation: u64, parcel: Parcel) -> Result<(), String> {
+    fn deliver(&mut self, vm: usize, incarnation: u64, delivery: FakeDelivery) -> Result<(), String> {
         let target = &self.vms[vm];
         if !target.alive || target.incarnation != incarnation {
             return Ok(());
         }
         if self.now < target.paused_until {
             let delay = target.paused_until - self.now;
-            self.parcel(vm, delay, parcel);
+            self.schedule(vm, delay, delivery);
             return Ok(());
         }
-        match parcel {
-            Parcel::Event(event) => self.step(vm, event),
-            Parcel::Run { request } => self.run_call(vm, request),
+        match delivery {
+            FakeDelivery::Event(event) => self.step(vm, event),
+            FakeDelivery::Run { request } => self.run_claimed_call(vm, request),
         }
     }
 
-    /// The endpoint runs a claimed call; its end is settled a little later.
-    fn run_call(&mut self, vm: usize, request: u64) -> Result<(), String> {
+    /// Runs a claimed call at the endpoint; its end is settled a little later.
+    fn run_claimed_call(&mut self, vm: usize, request: u64) -> Result<(), String> {
         let (key, nonce) = (self.attempts[&request].key, self.attempts[&request].nonce);
         let runs = self.runs.entry(key).or_default();
         runs.push(nonce);
         if runs.len() > 1 {
             return Err(format!("key {key} ran {} times", runs.len()));
         }
-        self.post(vm, 20, Event::Settle { key, nonce, answer: Some(format!("answer {nonce}")) });
+        self.schedule_event(vm, 20, Event::Settle { key, nonce, answer: Some(format!("answer {nonce}")) });
         Ok(())
     }
 
@@ -303,53 +304,54 @@
         }
         self.vms[vm].generation = generation;
         for effect in effects {
-            self.carry(vm, effect)?;
+            self.apply_effect(vm, effect)?;
         }
         Ok(())
     }
 
-    fn carry(&mut self, vm: usize, effect: Effect) -> Result<(), String> {
+    fn apply_effect(&mut self, vm: usize, effect: Effect) -> Result<(), String> {
         match effect {
             Effect::Send { to, message } => {
                 let Some(target) = VMS.iter().position(|(name, _)| *name == to) else { return Ok(()) };
-                let cut = self.cuts.get(&(vm, target)).is_some_and(|until| self.now < *until);
+                let cut = self.cut_links.get(&(vm, target)).is_some_and(|until| self.now < *until);
                 if !cut {
-                    self.post(target, 1, Event::Receive { from: VMS[vm].0.into(), message });
+                    self.schedule_event(target, 1, Event::Receive { from: VMS[vm].0.into(), message });
                 }
             }
             Effect::CreateLog { shard, sequence, text } => self.create_log(vm, shard, sequence, text),
             Effect::ReadLog { shard, from } => {
-                let known = !self.platform_out();
+                let known = !self.is_platform_out();
                 let rows = self.log.range((shard, from)..(shard + 1, 0));
                 let entries =
                     rows.map(|((_, sequence), text)| LogEntry { sequence: *sequence, text: text.clone() });
                 let entries = if known { entries.collect() } else { Vec::new() };
-                self.post(vm, 2, Event::LogRead { shard, known, entries });
+                self.schedule_event(vm, 2, Event::LogRead { shard, known, entries });
             }
-            Effect::ClaimAnswer { request, verdict } => self.claim_answered(vm, request, verdict)?,
-            Effect::Dispatch { request, endpoint, .. } => self.dispatched(vm, request, &endpoint)?,
+            Effect::ClaimAnswer { request, verdict } => self.check_claim_answer(vm, request, verdict)?,
+            Effect::Dispatch { request, endpoint, .. } => self.check_dispatch(vm, request, &endpoint)?,
             Effect::Refuse { request, retry_after_millis, .. } => {
                 if retry_after_millis == 0 {
-                    return Err("a refusal without a time to come back".into());
+                    return Err("refusal without a retry delay".into());
                 }
-                self.ended(request)?;
-                self.post(vm, 1, Event::Progress { request, outcome: Outcome::Abandoned });
+                self.record_end(request)?;
+                self.schedule_event(vm, 1, Event::Progress { request, outcome: Outcome::Abandoned });
             }
             Effect::WatchConfiguration { hold: true } => self.read_head(vm),
-            Effect::ReadChunks { digests } if !self.platform_out() => {
+            Effect::ReadChunks { digests } if !self.is_platform_out() => {
                 let texts = digests.iter().filter_map(|digest| {
-                    let chunk = self.head.1.chunks.get(digest).or_else(|| self.old_head.1.chunks.get(digest));
+                    let chunk =
+                        self.head.1.chunks.get(digest).or_else(|| self.previous_head.1.chunks.get(digest));
                     chunk.map(|text| Arc::from(text.as_str()))
                 });
                 let texts = texts.collect();
-                self.post(vm, 2, Event::ChunksRead { texts });
+                self.schedule_event(vm, 2, Event::ChunksRead { texts });
             }
             Effect::Configure { generation, texts } => {
                 let text = Arc::from(texts.concat());
-                self.post(vm, 3, Event::Configured { generation, text, catalogue: None });
+                self.schedule_event(vm, 3, Event::Configured { generation, text, catalogue: None });
             }
             Effect::RestoreHead { generation, digests, texts }
-                if !self.platform_out() && generation > self.head.0 =>
+                if !self.is_platform_out() && generation > self.head.0 =>
             {
                 let chunks = texts
                     .iter()
@@ -359,7 +361,7 @@
             }
             Effect::Probe { endpoint } => {
                 let ready = !self.unready_since.contains_key(endpoint.as_str());
-                self.post(
+                self.schedule_event(
                     vm,
                     2,
                     Event::Probed { endpoint, ready: Some(ready), running: 0, waiting: 0, weights: None },
@@ -370,43 +372,47 @@
         Ok(())
     }
 
-    /// A watch that sees each change: the head is read a few times a second.
+    /// Reads the head, which the fake does several times a second in place of a watch.
     fn read_head(&mut self, vm: usize) {
         let (generation, digests) = (self.head.0, self.head.1.digests.clone());
-        if !self.platform_out() {
-            self.post(vm, 2, Event::HeadRead { generation, digests });
+        if !self.is_platform_out() {
+            self.schedule_event(vm, 2, Event::HeadRead { generation, digests });
         }
     }
 
     fn create_log(&mut self, vm: usize, shard: u32, sequence: u64, text: String) {
-        if self.platform_out() {
-            self.post(vm, 500, Event::LogCreated { shard, sequence, reply: CreateReply::Unknown });
+        if self.is_platform_out() {
+            self.schedule_event(vm, 500, Event::LogCreated { shard, sequence, reply: CreateReply::Unknown });
             return;
         }
-        let reply = if let Some(standing) = self.log.get(&(shard, sequence)) {
-            CreateReply::Exists(standing.clone())
+        let reply = if let Some(existing) = self.log.get(&(shard, sequence)) {
+            CreateReply::Exists(existing.clone())
         } else {
             self.log.insert((shard, sequence), text);
             CreateReply::Created
         };
-        let lost = self.lost_replies > 0;
+        let is_lost = self.lost_replies > 0;
         self.lost_replies = self.lost_replies.saturating_sub(1);
-        let reply = if lost { CreateReply::Unknown } else { reply };
-        self.post(vm, 2, Event::LogCreated { shard, sequence, reply });
+        let reply = if is_lost { CreateReply::Unknown } else { reply };
+        self.schedule_event(vm, 2, Event::LogCreated { shard, sequence, reply });
     }
 
-    fn claim_answered(&mut self, vm: usize, request: u64, verdict: ClaimVerdict) -> Result<(), String> {
-        let Some(attempt) = self.attempts.get_mut(&request) else { return Err("an unknown attempt".into()) };
+    fn check_claim_answer(&mut self, vm: usize, request: u64, verdict: ClaimVerdict) -> Result<(), String> {
+        let Some(attempt) = self.attempts.get_mut(&request) else {
+            return Err("answer to an unknown attempt".into());
+        };
         attempt.verdicts.push(verdict.clone());
         if attempt.verdicts.len() > 1 {
-            return Err(format!("attempt {request} was answered twice: {:?}", attempt.verdicts));
+            return Err(format!("attempt {request} was answered more than once: {:?}", attempt.verdicts));
         }
         match verdict {
-            ClaimVerdict::Claimed => self.parcel(vm, 1, Parcel::Run { request }),
+            ClaimVerdict::Claimed => self.schedule(vm, 1, FakeDelivery::Run { request }),
             ClaimVerdict::Finished(answer) => {
                 let runs = self.runs.get(&attempt.key).cloned().unwrap_or_default();
                 if runs.iter().all(|nonce| answer != format!("answer {nonce}")) {
-                    return Err(format!("attempt {request} was given `{answer}`, which no run made"));
+                    return Err(format!(
+                        "attempt {request} got the answer `{answer}`, which no run produced"
+                    ));
                 }
             }
             _ => {}
@@ -414,49 +420,52 @@
         Ok(())
     }
 
-    fn dispatched(&mut self, vm: usize, request: u64, endpoint: &str) -> Result<(), String> {
+    fn check_dispatch(&mut self, vm: usize, request: u64, endpoint: &str) -> Result<(), String> {
         if let Some(since) = self.unready_since.get(endpoint)
-            && self.now > since + LEAVING_MILLIS
-            && self.all_well()
+            && self.now > since + DEPARTURE_GRACE_MILLIS
+            && self.is_fault_free()
         {
-            return Err(format!("{endpoint} left {} ms ago and got new work", self.now - since));
+            return Err(format!("{endpoint} became unready {} ms ago and got new work", self.now - since));
         }
-        self.ended(request)?;
+        self.record_end(request)?;
         let usage = Usage { computed: 3_100, compute_micros: 31_000, ..Usage::default() };
-        self.post(vm, 31, Event::Progress { request, outcome: Outcome::FirstToken(usage) });
-        self.post(vm, 90, Event::Progress { request, outcome: Outcome::Complete(50) });
+        self.schedule_event(vm, 31, Event::Progress { request, outcome: Outcome::FirstToken(usage) });
+        self.schedule_event(vm, 90, Event::Progress { request, outcome: Outcome::Complete(50) });
         Ok(())
     }
 
-    /// Whether no VM or link is or was just broken: then the engine's own refusal must do, because
-    /// a VM may decide for a home that is silent, or be a home that has not probed yet.
-    fn all_well(&self) -> bool {
-        let settled = |vm: &FakeVm| self.now >= vm.paused_until.max(vm.alive_since) + LEAVING_MILLIS;
-        self.vms.iter().all(|vm| vm.alive && settled(vm))
-            && self.cuts.values().all(|until| self.now >= *until + LEAVING_MILLIS)
+    /// Whether no VM or link is, or was shortly before, faulty.
+    ///
+    /// Otherwise only the engine's own refusal keeps new work away, because a VM may decide for a home
+    /// that does not answer, or be a home that has not probed yet.
+    fn is_fault_free(&self) -> bool {
+        let has_recovered =
+            |vm: &FakeVm| self.now >= vm.paused_until.max(vm.alive_since) + DEPARTURE_GRACE_MILLIS;
+        self.vms.iter().all(|vm| vm.alive && has_recovered(vm))
+            && self.cut_links.values().all(|until| self.now >= *until + DEPARTURE_GRACE_MILLIS)
     }
 
-    fn ended(&mut self, request: u64) -> Result<(), String> {
-        if let Some((_, _, ends)) = self.arrivals.get_mut(&request) {
-            *ends += 1;
-            if *ends > 1 {
-                return Err(format!("request {request} ended {ends} times"));
+    fn record_end(&mut self, request: u64) -> Result<(), String> {
+        if let Some((_, _, end_count)) = self.arrivals.get_mut(&request) {
+            *end_count += 1;
+            if *end_count > 1 {
+                return Err(format!("request {request} ended {end_count} times"));
             }
         }
         Ok(())
     }
 
-    /// Requests that were dispatched or refused, and keys that ran.
+    /// Returns the numbers of requests that were dispatched or refused, and of keys that ran.
     pub fn counts(&self) -> (usize, usize) {
-        (self.arrivals.values().filter(|(_, _, ends)| *ends > 0).count(), self.runs.len())
+        (self.arrivals.values().filter(|(_, _, end_count)| *end_count > 0).count(), self.runs.len())
     }
 
-    /// Checks what must have come about by the end.
-    pub fn check_ends(&self) -> Result<(), String> {
-        for (request, (vm, incarnation, ends)) in &self.arrivals {
-            let survived = self.vms[*vm].alive && self.vms[*vm].incarnation == *incarnation;
-            if survived && *ends == 0 {
-                return Err(format!("request {request} at {} has no end", VMS[*vm].0));
+    /// Checks the invariants that need a finished run.
+    pub fn check_outcomes(&self) -> Result<(), String> {
+        for (request, (vm, incarnation, end_count)) in &self.arrivals {
+            let vm_survived = self.vms[*vm].alive && self.vms[*vm].incarnation == *incarnation;
+            if vm_survived && *end_count == 0 {
+                return Err(format!("request {request} at {} did not end", VMS[*vm].0));
             }
         }
         let mut ran = BTreeSet::new();
@@ -465,7 +474,7 @@
                 matches!(attempt.verdicts.first(), Some(ClaimVerdict::Unavailable | ClaimVerdict::Mismatch));
             let has_run = self.runs.get(&attempt.key).is_some_and(|runs| runs.contains(&attempt.nonce));
             if refused && has_run {
-                return Err(format!("attempt {request} was told that it did not run, and ran"));
+                return Err(format!("attempt {request} was answered as not run, but ran"));
             }
             if has_run && !ran.insert(attempt.key) {
                 return Err(format!("key {} ran twice", attempt.key));
--- a/crates/policy/tests/sessions.rs
+++ b/crates/policy/tests/sessions.rs
@@ -1,12 +1,12 @@
-//! Golden sessions: events in, effects out, one scenario a file.
+//! Golden sessions: events in, effects out, one scenario per file.
 //!
-//! `SPANFOLD_BLESS=1 cargo test -p spanfold-policy --test sessions` writes the effects anew; the
-//! difference is then read in review.
+//! `SPANFOLD_BLESS=1 cargo test -p spanfold-policy --test sessions` rewrites the effects; the
+//! difference is then reviewed.
 
 use spanfold_policy as _;
 use std::path::Path;
 
-fn golden(name: &str) {
+fn check_golden(name: &str) {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/sessions").join(format!("{name}.session"));
     let text = std::fs::read_to_string(&file).unwrap();
     let replayed = spanfold_kernel::replay(&text).unwrap();
@@ -42,7 +42,7 @@
     deadline_refused_at_once = { "deadline-refused-at-once" },
 )]
 fn session(name: &str) {
-    golden(name);
+    check_golden(name);
 }
 
 #[test]
