--- a/crates/policy/tests/configuration.rs
+++ b/crates/policy/tests/configuration.rs
@@ -86,8 +86,9 @@
     sources.collect()
 }
 
-/// Guards against a VM that requests chunks of a generation only from the VM that it first fetched
-/// from: when that VM is gone, it never applies the generation.
+/// Guards against a VM that requests chunks only from its first source.
+///
+/// When that source is gone, the VM never applies the generation.
 #[test]
 fn chunks_are_requested_from_another_vm_if_their_source_becomes_unreachable() {
     let mut vm = TestVm::new();
--- a/crates/policy/tests/fake/mod.rs
+++ b/crates/policy/tests/fake/mod.rs
@@ -372,7 +372,7 @@
         Ok(())
     }
 
-    /// Reads the head, which the fake does several times a second in place of a watch.
+    /// Reads the head; the fake does so several times a second in place of a watch.
     fn read_head(&mut self, vm: usize) {
         let (generation, digests) = (self.head.0, self.head.1.digests.clone());
         if !self.is_platform_out() {
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -25,11 +25,11 @@
 
 fn any_fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        6 => (any_vm(), 0..3_u8, 0..8_u8).prop_map(|(target, key, body)| Fault::Attempt { vm: target, key, body: body / 7 }),
-        6 => (any_vm(), 0..4_u64).prop_map(|(target, prompt)| Fault::Arrive { vm: target, prompt }),
+        6 => (any_vm(), 0..3_u8, 0..8_u8).prop_map(|(vm, key, body)| Fault::Attempt { vm, key, body: body / 7 }),
+        6 => (any_vm(), 0..4_u64).prop_map(|(vm, prompt)| Fault::Arrive { vm, prompt }),
         1 => any_vm().prop_map(Fault::Kill),
         2 => any_vm().prop_map(Fault::Restart),
-        1 => (any_vm(), 100..6_000_u64).prop_map(|(target, millis)| Fault::Pause { vm: target, millis }),
+        1 => (any_vm(), 100..6_000_u64).prop_map(|(vm, millis)| Fault::Pause { vm, millis }),
         2 => (any_vm(), any_vm(), 100..5_000_u64).prop_map(|(from, to, millis)| Fault::Cut { from, to, millis }),
         1 => (100..5_000_u64).prop_map(|millis| Fault::PlatformOutage { millis }),
         2 => (1..4_u32).prop_map(|count| Fault::LoseReplies { count }),
@@ -81,8 +81,10 @@
     assert_eq!(fleet.counts(), (8, 3), "requests served and keys run");
 }
 
-/// Guards against a home that releases a claim as late although its requester meanwhile claimed the key
-/// past the home with the same nonce: the key is free again although the call ran.
+/// Guards against a home that releases a claim that was used.
+///
+/// The requester may have claimed the key past its home with the same nonce. If the home then releases
+/// the claim as late, the key is free again although the call ran.
 #[test]
 fn a_home_does_not_release_a_claim_that_was_used() {
     let attempt = |key| Fault::Attempt { vm: 0, key, body: 0 };
@@ -99,11 +101,13 @@
     run(faults).unwrap();
 }
 
-/// Guards against a home that reads its log again while a write is pending, then writes the same claim
-/// one entry later, behind another VM's claim on the key, and treats the key as its own.
+/// Guards against a home that counts a claim written behind another VM's.
+///
+/// A home that reads its log again while a write is pending writes the same claim one entry later,
+/// behind another VM's claim on the key. It must not treat the key as its own.
 #[test]
 fn a_claim_written_after_another_does_not_count() {
-    let attempt = |target, key| Fault::Attempt { vm: target, key, body: 0 };
+    let attempt = |vm, key| Fault::Attempt { vm, key, body: 0 };
     let faults = vec![
         (0, Fault::LoseReplies { count: 1 }),
         (1_458, attempt(1, 2)),
