--- a/crates/gateway/src/peers/digest_relay.rs
+++ b/crates/gateway/src/peers/digest_relay.rs
@@ -1,14 +1,14 @@
-//! Passes on to the VMs of a large data centre what each of them says of its loads.
+//! Relays the load digests of a large data centre's VMs to all of them.
 //!
-//! Pattern: where each VM tells each other, a data centre of n VMs sends n times n messages for every change, and small VMs
-//! spend most of their processor time on them. So VMs tell the two leads, and these tell all, several digests in one
-//! message.
+//! Pattern: if each VM sends its digests to each other one, a data centre of n VMs sends n times n messages
+//! for every change, and small VMs spend most of their processor time on them. So VMs send their digests to
+//! the two leaders, and these relay them to all, several digests in one message.
 //!
-//! Invariant: a digest keeps the stamp of the VM that made it, so it counts once whoever passes it on, and an older one
-//! never replaces a newer one. The second lead passes on only while the first one does not.
+//! Invariant: a digest keeps the stamp of the VM that made it, so it counts once whichever VM relays it, and
+//! an older one never replaces a newer one. The second leader relays only while the first one does not.
 
 use crate::gateway::Gateway;
-use crate::peers::gossip::{pass_pause, tell};
+use crate::peers::gossip::{relay_interval, send_message};
 use crate::peers::load_digest::LoadDigest;
 use crate::peers::peer_message::{PeerMessage, PeerStamp};
 use crate::{LEADERS_PER_DATA_CENTRE, VmKey};
@@ -20,81 +20,83 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
-/// A VM's changes within this time go out together to the leads: two messages cost little.
-pub(crate) const TELL_PAUSE: Duration = Duration::from_millis(4);
-/// Digests within this time go out together to all. The older they are, the more prompts meet at one engine.
-const GATHER_PAUSE: Duration = Duration::from_millis(8);
-/// A lead is silent if it has passed on nothing for this long, in milliseconds: VMs tell of themselves each 300 at
-/// least, some fifty of them all the time.
+/// A VM's changes within this time are sent to the leaders together: two messages cost little.
+pub(crate) const LEADER_DIGEST_DELAY: Duration = Duration::from_millis(4);
+/// Digests within this time are relayed together. The older they are, the more VMs place their prompts at the
+/// same engine.
+const BATCH_DELAY: Duration = Duration::from_millis(8);
+/// A leader counts as unreachable if it has relayed nothing for this long, in milliseconds: each of some
+/// fifty VMs sends a digest at least every 300 ms, so digests arrive all the time.
 const SILENCE_TIMEOUT_MILLIS: u64 = 150;
-/// Digests in one message: a hundred bytes each, so that a usual message is of some packets' size.
-const DIGESTS_MOST: usize = 32;
+/// Digests in one message. Each takes a hundred bytes, so that a usual message has the size of a few packets.
+const MAX_DIGESTS_PER_MESSAGE: usize = 32;
 
-/// Digests that wait to be passed on.
+/// Digests that wait to be relayed.
 #[derive(Debug, Default)]
 pub(crate) struct DigestRelay {
-    waiting: Mutex<BTreeMap<VmKey, (PeerStamp, LoadDigest)>>,
+    pending: Mutex<BTreeMap<VmKey, (PeerStamp, LoadDigest)>>,
     changed: Notify,
-    /// When a VM that goes before this one as a lead passed on something last, in microseconds.
-    other_at: AtomicU64,
+    /// When a leader that precedes this VM last relayed something, in microseconds.
+    preceding_leader_at: AtomicU64,
 }
 
 impl DigestRelay {
-    /// Adds a digest; it takes the place of an earlier one of its VM.
+    /// Adds a digest; it replaces an earlier one of the same VM.
     pub(crate) fn push(&self, stamp: PeerStamp, mut digest: LoadDigest) {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((_, earlier)) = waiting.remove(&stamp.vm) {
-            digest.follow(earlier);
+        let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some((_, earlier)) = pending.remove(&stamp.vm) {
+            digest.merge_earlier(earlier);
         }
-        waiting.insert(stamp.vm, (stamp, digest));
-        drop(waiting);
+        pending.insert(stamp.vm, (stamp, digest));
+        drop(pending);
         self.changed.notify_one();
     }
 
-    /// Notes that a VM that goes before this one passes digests on.
-    pub(crate) fn note_other(&self, now: Moment) {
-        self.other_at.fetch_max(now.0, Ordering::Relaxed);
+    /// Records that a leader that precedes this VM relays digests.
+    pub(crate) fn record_preceding_leader(&self, now: Moment) {
+        self.preceding_leader_at.fetch_max(now.0, Ordering::Relaxed);
     }
 
-    fn other_is_silent(&self, now: Moment) -> bool {
-        now >= Moment(self.other_at.load(Ordering::Relaxed)).after_millis(SILENCE_TIMEOUT_MILLIS)
+    fn preceding_leader_is_unreachable(&self, now: Moment) -> bool {
+        now >= Moment(self.preceding_leader_at.load(Ordering::Relaxed)).after_millis(SILENCE_TIMEOUT_MILLIS)
     }
 
-    fn take(&self) -> Vec<(PeerStamp, LoadDigest)> {
-        let waiting = std::mem::take(&mut *self.waiting.lock().unwrap_or_else(PoisonError::into_inner));
-        waiting.into_values().collect()
+    fn take_pending(&self) -> Vec<(PeerStamp, LoadDigest)> {
+        let pending = std::mem::take(&mut *self.pending.lock().unwrap_or_else(PoisonError::into_inner));
+        pending.into_values().collect()
     }
 }
 
-/// Whether this VM passes on what the others of its data centre tell.
-pub(crate) fn relays(gateway: &Gateway, now: Moment) -> bool {
+/// Whether this VM relays the digests of its data centre's other VMs.
+pub(crate) fn is_relay(gateway: &Gateway, now: Moment) -> bool {
     let peers = gateway.peers();
     peers.relays_locally() && peers.expected_leader_rank(now) < LEADERS_PER_DATA_CENTRE
 }
 
-/// Passes on digests while this VM leads a large data centre, until the process ends.
+/// Relays digests while this VM is a leader of a large data centre, until the process ends.
 pub(crate) async fn relay_digests(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     loop {
         gateway.relay.changed.notified().await;
-        tokio::time::sleep(GATHER_PAUSE).await;
+        tokio::time::sleep(BATCH_DELAY).await;
         let now = gateway.now();
-        let mut digests = gateway.relay.take();
-        if !relays(&gateway, now) || !gateway.relay.other_is_silent(now) {
+        let mut digests = gateway.relay.take_pending();
+        if !is_relay(&gateway, now) || !gateway.relay.preceding_leader_is_unreachable(now) {
             continue;
         }
         let own = VmKey::of(&gateway.settings.name);
         for (stamp, _) in digests.iter_mut().filter(|(stamp, _)| stamp.vm == own) {
-            // What this VM has said of other data centres meanwhile must not make its own word an old one.
+            // Digests that this VM has sent about other data centres since then have later stamps, which
+            // would make its own digest outdated.
             *stamp = gateway.next_stamp();
         }
         let targets = gateway.peers().local_peer_addresses();
         let mut bytes = 0;
         while !digests.is_empty() {
-            let rest = digests.split_off(digests.len().min(DIGESTS_MOST));
+            let remaining = digests.split_off(digests.len().min(MAX_DIGESTS_PER_MESSAGE));
             let message = PeerMessage::Batch(gateway.next_stamp(), digests);
-            bytes += tell(&gateway, &socket, &message, &targets).await;
-            digests = rest;
+            bytes += send_message(&gateway, &socket, &message, &targets).await;
+            digests = remaining;
         }
-        tokio::time::sleep(pass_pause(bytes * targets.len(), gateway.settings.link_mbps)).await;
+        tokio::time::sleep(relay_interval(bytes * targets.len(), gateway.settings.link_mbps)).await;
     }
 }
--- a/crates/gateway/src/peers/gossip.rs
+++ b/crates/gateway/src/peers/gossip.rs
@@ -1,46 +1,49 @@
 //! Messages from VM to VM, over UDP.
 //!
-//! Within a data centre each VM tells every other of its loads soon after they change, several changes
-//! together, and at least every [`REST`], which is also the heartbeat. Each lead tells the leads of
-//! other data centres of its own as a whole, and passes on to its data centre what they tell: so a
-//! VM's messages grow with its data centre, not with the deployment. What other data centres tell goes out as one sum
-//! and no faster than a part of the lead's link carries to so many: passed on one by one, it would take 80
-//! Mbit/s with five data centres of 59 VMs, and the leads that are left after a fault may have 20. What a message means is decided
-//! where its kind is defined.
+//! Within a data centre each VM sends a digest of its loads to every other one soon after they change,
+//! several changes together, and at least every [`HEARTBEAT_INTERVAL`], which makes it the heartbeat too.
+//! Each leader sends a digest of its whole data centre to the leaders of other data centres, and relays
+//! theirs within its own: so a VM's messages grow with its data centre, not with the deployment.
+//!
+//! The digests of other data centres are relayed as one sum, and no faster than a fraction of the leader's
+//! link carries them to all local VMs. Relayed one by one, they would take 80 Mbit/s with five data centres
+//! of 59 VMs, and the leaders that remain after a fault may have 20. What a message means is defined with its
+//! kind.
 
 use crate::LEADERS_PER_DATA_CENTRE;
 use crate::gateway::Gateway;
 use crate::operators::gateway_metrics::KindLabel;
-use crate::peers::digest_relay::{TELL_PAUSE, relays};
+use crate::peers::digest_relay::{LEADER_DIGEST_DELAY, is_relay};
 use crate::peers::load_digest::{DigestScope, LoadDigest};
 use crate::peers::peer_message::{PeerMessage, PeerStamp};
-use crate::store::follow::{StoreWord, ToldNews};
+use crate::store::follow::{ReceivedUpdate, StoreMessage};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-/// Changes within this time go out together.
-const GATHER_PAUSE: Duration = Duration::from_millis(20);
+/// Changes within this time are sent together.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 /// Longest time between digests.
-const REST: Duration = Duration::from_millis(300);
-/// Pause between digests of a data centre for each other data centre that passes them on: what a lead
-/// sends stays the same however many there are.
-const FAR_PAUSE: Duration = Duration::from_millis(35);
-/// Part of a lead's own link that passing on may take.
-const PASS_SHARE: f64 = 0.25;
-/// Longest pause of a lead that passes on: loads count for 1.5 s.
-const PASS_PAUSE_MOST: Duration = Duration::from_secs(1);
-/// The second lead tells other data centres so many times as rarely: it is there for the death of the first one.
-const SECOND_LEAD_FACTOR: u32 = 3;
-/// Pause of a VM that has nothing to tell other data centres.
-const NO_LEAD_PAUSE: Duration = Duration::from_millis(150);
-/// Largest datagram that is read, in bytes.
-const DATAGRAM_BYTES: usize = 65_536;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+/// Interval between digests to other data centres, and between relayed ones, for each other data centre: what
+/// a leader sends stays the same however many there are.
+const REMOTE_DIGEST_INTERVAL: Duration = Duration::from_millis(35);
+/// Fraction of a leader's own link that relaying may use.
+const RELAY_LINK_FRACTION: f64 = 0.25;
+/// Longest interval between relayed digests: loads count for 1.5 s.
+const MAX_RELAY_INTERVAL: Duration = Duration::from_secs(1);
+/// Factor on the intervals of the second leader, which only covers a crash of the first one.
+const SECOND_LEADER_INTERVAL_FACTOR: u32 = 3;
+/// Interval at which a VM that has nothing to relay checks whether it is a leader.
+const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Largest datagram that is read.
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// Sends one message to each address; gives its bytes. One that cannot be sent is as good as a lost one, but counted.
-pub(crate) async fn tell(
+/// Sends a message to each address; returns its bytes. A failed send counts as a lost datagram, and is
+/// recorded in the metrics.
+pub(crate) async fn send_message(
     gateway: &Gateway,
     socket: &UdpSocket,
     message: &PeerMessage,
@@ -60,90 +63,95 @@
     bytes.len()
 }
 
-/// Tells the other VMs of this one's loads until the process ends.
+/// Sends this VM's load digests until the process ends.
 pub(crate) async fn send_digests(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     loop {
-        let pause = if gateway.peers().relays_locally() { TELL_PAUSE } else { GATHER_PAUSE };
+        let delay = if gateway.peers().relays_locally() { LEADER_DIGEST_DELAY } else { BATCH_DELAY };
         tokio::select! {
-            () = gateway.loads_changed.notified() => tokio::time::sleep(pause).await,
-            () = tokio::time::sleep(REST) => {}
+            () = gateway.loads_changed.notified() => tokio::time::sleep(delay).await,
+            () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {}
         }
         let now = gateway.now();
-        let (digest, stamp) = (LoadDigest::own(&gateway), gateway.next_stamp());
+        let (digest, stamp) = (LoadDigest::of_vm(&gateway), gateway.next_stamp());
         let targets = {
             let peers = gateway.peers();
             if peers.relays_locally() { peers.local_leaders(now) } else { peers.digest_targets() }
         };
-        if relays(&gateway, now) {
+        if is_relay(&gateway, now) {
             gateway.relay.push(stamp, digest.clone());
         }
-        tell(&gateway, &socket, &PeerMessage::Load(stamp, digest), &targets).await;
+        send_message(&gateway, &socket, &PeerMessage::Load(stamp, digest), &targets).await;
     }
 }
 
-/// Tells other data centres of this one while this VM is one of its leads, until the process ends.
+/// Sends digests of this data centre to others while this VM is a leader, until the process ends.
 pub(crate) async fn send_far_digests(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     loop {
         let now = gateway.now();
-        let (place, remote_data_centre_count, broadcasts_to_all) = {
+        let (leader_rank, remote_data_centre_count, broadcasts_to_all) = {
             let peers = gateway.peers();
             (peers.leader_rank(now), peers.remote_data_centre_count(), peers.broadcasts_to_all())
         };
-        if broadcasts_to_all || place >= LEADERS_PER_DATA_CENTRE || remote_data_centre_count == 0 {
+        if broadcasts_to_all || leader_rank >= LEADERS_PER_DATA_CENTRE || remote_data_centre_count == 0 {
             let _ = (gateway.far_notes.take(), gateway.far_reports.take());
             let _ = (gateway.far_cases.take(), gateway.far_answers.take());
             gateway.rollouts().sums.far.clear();
-            tokio::time::sleep(NO_LEAD_PAUSE).await;
+            tokio::time::sleep(LEADER_POLL_INTERVAL).await;
             continue;
         }
         let message =
-            PeerMessage::Load(gateway.next_stamp(), LoadDigest::of_data_centre(&gateway, place == 0));
-        let targets = gateway.peers().remote_leaders(place, now);
-        tell(&gateway, &socket, &message, &targets).await;
-        let rarely = if place == 0 { 1 } else { SECOND_LEAD_FACTOR };
-        tokio::time::sleep(FAR_PAUSE * remote_data_centre_count as u32 * rarely).await;
+            PeerMessage::Load(gateway.next_stamp(), LoadDigest::of_data_centre(&gateway, leader_rank == 0));
+        let targets = gateway.peers().remote_leaders(leader_rank, now);
+        send_message(&gateway, &socket, &message, &targets).await;
+        let interval_factor = if leader_rank == 0 { 1 } else { SECOND_LEADER_INTERVAL_FACTOR };
+        tokio::time::sleep(REMOTE_DIGEST_INTERVAL * remote_data_centre_count as u32 * interval_factor).await;
     }
 }
 
-/// Tells the VMs of this data centre of all others while this VM is one of its leads, until the process ends.
+/// Relays digests of other data centres within this one while this VM is a leader, until the process ends.
 pub(crate) async fn pass_on(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     loop {
         let now = gateway.now();
-        let (place, remote_data_centre_count, targets) = {
+        let (leader_rank, remote_data_centre_count, targets) = {
             let peers = gateway.peers();
-            let place = peers.leader_rank(now);
-            let passes = !peers.broadcasts_to_all() && place < LEADERS_PER_DATA_CENTRE;
-            let targets = if passes { peers.local_peer_addresses() } else { Vec::new() };
-            (place, peers.remote_data_centre_count(), targets)
+            let leader_rank = peers.leader_rank(now);
+            let is_relaying = !peers.broadcasts_to_all() && leader_rank < LEADERS_PER_DATA_CENTRE;
+            let targets = if is_relaying { peers.local_peer_addresses() } else { Vec::new() };
+            (leader_rank, peers.remote_data_centre_count(), targets)
         };
         if targets.is_empty() || remote_data_centre_count == 0 {
             let _ = (gateway.passed_notes.take(), gateway.passed_reports.take());
             let _ = (gateway.passed_cases.take(), gateway.passed_answers.take());
             gateway.rollouts().sums.passed.clear();
-            tokio::time::sleep(NO_LEAD_PAUSE).await;
+            tokio::time::sleep(LEADER_POLL_INTERVAL).await;
             continue;
         }
-        let message = PeerMessage::Load(gateway.next_stamp(), LoadDigest::of_elsewhere(&gateway, place == 0));
-        let bytes = tell(&gateway, &socket, &message, &targets).await;
-        let rarely = if place == 0 { 1 } else { SECOND_LEAD_FACTOR };
-        let usual = FAR_PAUSE * remote_data_centre_count as u32 * rarely;
-        let link = pass_pause(bytes * targets.len(), gateway.settings.link_mbps);
-        tokio::time::sleep(usual.max(link).min(PASS_PAUSE_MOST)).await;
+        let message =
+            PeerMessage::Load(gateway.next_stamp(), LoadDigest::of_elsewhere(&gateway, leader_rank == 0));
+        let bytes = send_message(&gateway, &socket, &message, &targets).await;
+        let interval_factor = if leader_rank == 0 { 1 } else { SECOND_LEADER_INTERVAL_FACTOR };
+        let regular_interval = REMOTE_DIGEST_INTERVAL * remote_data_centre_count as u32 * interval_factor;
+        let link_interval = relay_interval(bytes * targets.len(), gateway.settings.link_mbps);
+        tokio::time::sleep(regular_interval.max(link_interval).min(MAX_RELAY_INTERVAL)).await;
     }
 }
 
-/// Time in which a part of a link of `link_mbps` carries so many bytes.
-pub(crate) fn pass_pause(bytes: usize, link_mbps: f64) -> Duration {
-    Duration::from_micros((bytes as f64 * 8.0 / (link_mbps.max(1.0) * PASS_SHARE)) as u64)
+/// Time in which `RELAY_LINK_FRACTION` of a link of `link_mbps` carries `bytes`.
+pub(crate) fn relay_interval(bytes: usize, link_mbps: f64) -> Duration {
+    Duration::from_micros((bytes as f64 * 8.0 / (link_mbps.max(1.0) * RELAY_LINK_FRACTION)) as u64)
 }
 
-/// Takes the other VMs' messages until the process ends.
-pub(crate) async fn receive(gateway: Arc<Gateway>, socket: Arc<UdpSocket>, news: mpsc::Sender<ToldNews>) {
-    let mut buffer = vec![0; DATAGRAM_BYTES];
+/// Receives and applies other VMs' messages until the process ends.
+pub(crate) async fn receive(
+    gateway: Arc<Gateway>,
+    socket: Arc<UdpSocket>,
+    queue: mpsc::Sender<ReceivedUpdate>,
+) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
-            // An earlier send was answered with an error: the socket itself is sound.
-            tokio::time::sleep(GATHER_PAUSE).await;
+            // An earlier send caused the error; the socket itself is intact.
+            tokio::time::sleep(BATCH_DELAY).await;
             continue;
         };
         let bytes = &buffer[..length];
@@ -154,58 +162,60 @@
         gateway.metrics.peers.bytes.get_or_create(&kind).inc_by(length as u64);
         let Some(message) = message else { continue };
         let stamp = message.stamp();
-        if let PeerMessage::Store(_, told) = &message
-            && told.is_spread
+        if let PeerMessage::Store(_, update) = &message
+            && update.is_spread
         {
-            pass_on_news(&gateway, &socket, stamp, bytes).await;
+            relay_updates(&gateway, &socket, stamp, bytes).await;
         }
         match message {
-            // A follower that is so far behind notices the gap and asks the store itself.
-            PeerMessage::Store(_, told) => drop(news.try_send((stamp.vm, StoreWord::News(told)))),
-            PeerMessage::StoreAsk(_, position) => drop(news.try_send((stamp.vm, StoreWord::Ask(position)))),
+            // If the follower's queue is full, the message is dropped: it detects the gap and polls the store
+            // itself.
+            PeerMessage::Store(_, update) => drop(queue.try_send((stamp.vm, StoreMessage::Updates(update)))),
+            PeerMessage::StoreAsk(_, from) => drop(queue.try_send((stamp.vm, StoreMessage::Request(from)))),
             PeerMessage::Kept(_, digest) => digest.apply(&gateway),
-            PeerMessage::Load(_, digest) => take_digest(&gateway, stamp, &digest),
-            PeerMessage::Batch(_, digests) => take_batch(&gateway, stamp, &digests),
+            PeerMessage::Load(_, digest) => apply_digest(&gateway, stamp, &digest),
+            PeerMessage::Batch(_, digests) => apply_batch(&gateway, stamp, &digests),
         }
     }
 }
 
-/// Passes on what a VM tells all of its data centre, if this VM does that, each message once.
-async fn pass_on_news(gateway: &Gateway, socket: &UdpSocket, stamp: PeerStamp, bytes: &[u8]) {
-    if !gateway.relayed.note(stamp) {
+/// Relays an update that a VM sends to its whole data centre, each message once, if this VM is one of its
+/// relays.
+async fn relay_updates(gateway: &Gateway, socket: &UdpSocket, stamp: PeerStamp, bytes: &[u8]) {
+    if !gateway.relayed.record(stamp) {
         return;
     }
     let targets = gateway.peers().relay_targets(stamp.vm);
     for address in &targets {
-        // One that cannot be sent is as good as a lost one: who misses it asks.
+        // A failed send counts as a lost datagram: a VM that misses the update requests it.
         let _ = socket.send_to(bytes, address).await;
     }
     let kind = KindLabel::new("relayed");
     gateway.metrics.peers.bytes_sent.get_or_create(&kind).inc_by((bytes.len() * targets.len()) as u64);
 }
 
-/// Takes what a VM tells itself, and has it passed on if this VM does that.
-fn take_digest(gateway: &Gateway, stamp: PeerStamp, digest: &LoadDigest) {
+/// Applies a VM's digest, and queues it for relaying if this VM relays.
+fn apply_digest(gateway: &Gateway, stamp: PeerStamp, digest: &LoadDigest) {
     let now = gateway.now();
-    if !digest.is_heard(&mut gateway.peers(), stamp, now) {
+    if !digest.accept(&mut gateway.peers(), stamp, now) {
         return;
     }
     digest.apply(gateway, stamp.vm);
     let is_local = gateway.peers().is_local(stamp.vm);
-    if digest.scope == DigestScope::Vm && is_local && relays(gateway, now) {
+    if digest.scope == DigestScope::Vm && is_local && is_relay(gateway, now) {
         gateway.relay.push(stamp, digest.clone());
     }
 }
 
-/// Takes what a lead of this data centre passes on of its VMs.
-fn take_batch(gateway: &Gateway, sender: PeerStamp, digests: &[(PeerStamp, LoadDigest)]) {
+/// Applies the digests that a leader of this data centre relays.
+fn apply_batch(gateway: &Gateway, sender: PeerStamp, digests: &[(PeerStamp, LoadDigest)]) {
     let now = gateway.now();
     if gateway.peers().precedes_as_leader(sender.vm) {
-        gateway.relay.note_other(now);
+        gateway.relay.record_preceding_leader(now);
     }
     for (stamp, digest) in digests {
-        // This VM's own are not in its book, and thus not heard.
-        if digest.is_heard(&mut gateway.peers(), *stamp, now) {
+        // This VM's own digests are not accepted, since the peer table doesn't list it.
+        if digest.accept(&mut gateway.peers(), *stamp, now) {
             digest.apply(gateway, stamp.vm);
         }
     }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! What VMs tell one another of loads and kept cache.
+//! Messages between VMs about loads and cached segments.
 
 pub(crate) mod digest_relay;
 pub(crate) mod gossip;
--- a/crates/gateway/src/peers/peer_message.rs
+++ b/crates/gateway/src/peers/peer_message.rs
@@ -1,25 +1,26 @@
-//! What VMs tell one another, and its form in a datagram.
+//! Messages between VMs, and their form in a datagram.
 //!
-//! Invariant: a message counts only if it was made by a VM that knows the deployment's peer key, which
-//! lies in the platform's store; a forged one could put a configuration in force. The key is one for
-//! the whole deployment: VMs trust one another, and what they say is no secret from the network.
-//! UDP and not QUIC: a message replaces the one before, or its loss is noticed by what it builds on.
+//! Invariant: a message is accepted only if its sender has the deployment's peer key, which is in the
+//! platform's store; a forged one could put a configuration in force. The whole deployment shares one key:
+//! VMs trust one another, and their messages are no secret from the network.
+//!
+//! UDP, not QUIC: a message replaces the previous one, or what builds on it detects its loss.
 
-use crate::peers::kept_digest::KeptDigest;
+use crate::peers::kept_digest::CacheDigest;
 use crate::peers::load_digest::LoadDigest;
-use crate::store::store_news::StoreNews;
+use crate::store::store_updates::StoreUpdates;
 use crate::{StorePosition, VmKey};
 use serde::{Deserialize, Serialize};
 
-/// Version of the messages' form; others are ignored.
-const FORM: u8 = 17;
+/// Version of the message format; messages of other versions are ignored.
+const FORMAT_VERSION: u8 = 17;
 /// Bytes of the authentication code at the end of a datagram.
 const CODE_BYTES: usize = 16;
 
 /// The deployment's key for messages between VMs.
 pub(crate) type PeerKey = [u8; 32];
 
-/// Who sent a message, and which of its messages it is.
+/// Identifies a message and its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PeerStamp {
     pub vm: VmKey,
@@ -27,19 +28,19 @@
     pub sequence: u64,
 }
 
-/// One message.
+/// A message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
-    /// Loads and what else bears on placement.
+    /// Loads and all else that matters for placement.
     Load(PeerStamp, LoadDigest),
-    /// What several VMs of the sender's data centre said of themselves, each with its own stamp.
+    /// Digests of several VMs of the sender's data centre, each with its own stamp.
     Batch(PeerStamp, Vec<(PeerStamp, LoadDigest)>),
     /// Changes in the platform's store.
-    Store(PeerStamp, StoreNews),
-    /// Asks for the changes in the platform's store after this position.
+    Store(PeerStamp, StoreUpdates),
+    /// Requests the changes in the platform's store after this position.
     StoreAsk(PeerStamp, StorePosition),
-    /// What stores of kept cache hold.
-    Kept(PeerStamp, KeptDigest),
+    /// Changes of the cache stores' indexes.
+    Kept(PeerStamp, CacheDigest),
 }
 
 impl PeerMessage {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// A word for its kind, for metrics.
+    /// Label of its kind, for metrics.
     pub(crate) const fn kind(&self) -> &'static str {
         match self {
             Self::Load(..) => "load",
@@ -64,15 +65,15 @@
         }
     }
 
-    /// The datagram that carries this message; none if it has no binary form.
+    /// Returns the datagram of this message; none if it has no binary form.
     pub(crate) fn seal(&self, key: &PeerKey) -> Option<Vec<u8>> {
-        let mut bytes = postcard::to_extend(self, vec![FORM]).ok()?;
+        let mut bytes = postcard::to_extend(self, vec![FORMAT_VERSION]).ok()?;
         let code = blake3::keyed_hash(key, &bytes);
         bytes.extend_from_slice(&code.as_bytes()[..CODE_BYTES]);
         Some(bytes)
     }
 
-    /// Reads a datagram; none if it is not authentic or of another form.
+    /// Decodes a datagram; none if it is not authentic or has another version.
     pub(crate) fn unseal(key: &PeerKey, bytes: &[u8]) -> Option<Self> {
         let (content, code) = bytes.split_last_chunk::<CODE_BYTES>()?;
         let mut expected = [0; CODE_BYTES];
@@ -81,8 +82,8 @@
         if blake3::hash(&expected) != blake3::hash(code) {
             return None;
         }
-        let (form, message) = content.split_first()?;
-        if *form != FORM {
+        let (version, message) = content.split_first()?;
+        if *version != FORMAT_VERSION {
             return None;
         }
         postcard::from_bytes(message).ok()
--- a/crates/gateway/src/peers/placed_note.rs
+++ b/crates/gateway/src/peers/placed_note.rs
@@ -1,51 +1,51 @@
-//! What a VM tells others of a request that it placed.
+//! Message about a request that a VM has placed.
 
 use crate::salted_key;
 use crate::{EndpointKey, FleetTable, PlacementChoice, PromptSegment};
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
 
-/// Parts of a prompt that are told, the leading ones: with 64 notes of so many, a digest stays below half of the
-/// largest datagram.
-const PARTS_MOST: usize = 16;
+/// Leading segments of a prompt that are propagated. With 64 messages of this size a digest stays below half
+/// of the largest datagram.
+const MAX_SEGMENTS: usize = 16;
 
-/// A request that was placed: where, and which parts its engine will keep.
+/// A placed request: its engine, and the segments that the engine will cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PlacedNote {
     pub key: EndpointKey,
     pub parts: Vec<(u64, u32)>,
     pub salt: u64,
-    /// Stores that parts are being saved to, each with the part's place.
+    /// Stores that segments are being saved to, each with the segment's index.
     pub saves: Vec<(u8, EndpointKey)>,
 }
 
 impl PlacedNote {
-    /// Whether it tells anything.
+    /// Whether there is anything to propagate.
     pub(crate) fn has_parts(&self) -> bool {
         !self.parts.is_empty()
     }
 
-    /// The note of a choice that was made for a prompt of `parts`.
-    pub(crate) fn new(choice: &PlacementChoice, parts: &[PromptSegment]) -> Self {
-        let saves = choice.kept.saves.iter().take(PARTS_MOST).enumerate();
-        let saves = saves.filter_map(|(place, store)| Some((u8::try_from(place).ok()?, (*store)?)));
+    /// Builds the message of a choice that was made for a prompt of `segments`.
+    pub(crate) fn new(choice: &PlacementChoice, segments: &[PromptSegment]) -> Self {
+        let saves = choice.kept.saves.iter().take(MAX_SEGMENTS).enumerate();
+        let saves = saves.filter_map(|(index, store)| Some((u8::try_from(index).ok()?, (*store)?)));
         Self {
             key: choice.key,
-            parts: parts.iter().take(PARTS_MOST).map(|part| (part.key, part.tokens)).collect(),
+            parts: segments.iter().take(MAX_SEGMENTS).map(|segment| (segment.key, segment.tokens)).collect(),
             salt: choice.salt,
             saves: saves.collect(),
         }
     }
 
-    /// Tells a table what the placement brings: parts at the engine, and on their way to stores.
+    /// Records the placement's effects in a table: segments at the engine, and on their way to stores.
     pub(crate) fn apply(&self, table: &mut FleetTable, now: Moment) {
-        let parts = self.prompt_segments();
-        table.record_segments(self.key, &parts, self.salt);
-        for (place, store) in &self.saves {
-            if let Some(part) = parts.get(usize::from(*place))
+        let segments = self.prompt_segments();
+        table.record_segments(self.key, &segments, self.salt);
+        for (index, store) in &self.saves {
+            if let Some(segment) = segments.get(usize::from(*index))
                 && let Some(row) = table.store_mut(*store)
             {
-                row.record_remote_request(salted_key(part.key, self.salt), part.tokens, now);
+                row.record_remote_request(salted_key(segment.key, self.salt), segment.tokens, now);
             }
         }
     }
--- a/crates/gateway/src/peers/relayed_news.rs
+++ b/crates/gateway/src/peers/relayed_news.rs
@@ -1,24 +1,24 @@
-//! Which messages of others this VM has passed on.
+//! Record of the store updates that this VM has relayed.
 //!
-//! Invariant: a message is passed on once, also where VMs disagree on who passes on: none goes round.
+//! Invariant: an update is relayed once, even where VMs disagree on who relays it: none circulates.
 
 use crate::VmKey;
 use crate::peers::peer_message::PeerStamp;
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
 
-/// Tellers that are remembered: those of a data centre that tell at the same time are few.
-const TELLERS_MOST: usize = 256;
+/// Senders that are recorded: few VMs of a data centre send updates at the same time.
+const MAX_REPORTERS: usize = 256;
 
-/// The newest message of each teller that was passed on.
+/// Incarnation and sequence of the newest relayed message of each sender.
 #[derive(Debug, Default)]
 pub(crate) struct RelayedNews(Mutex<HashMap<VmKey, (u64, u64)>>);
 
 impl RelayedNews {
-    /// Notes a message; whether it is newer than all of its teller's before.
-    pub(crate) fn note(&self, stamp: PeerStamp) -> bool {
+    /// Records a message; returns whether it is newer than all earlier ones of its sender.
+    pub(crate) fn record(&self, stamp: PeerStamp) -> bool {
         let mut newest = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if newest.len() >= TELLERS_MOST && !newest.contains_key(&stamp.vm) {
+        if newest.len() >= MAX_REPORTERS && !newest.contains_key(&stamp.vm) {
             newest.clear();
         }
         let (incarnation, sequence) = newest.entry(stamp.vm).or_default();
--- a/crates/gateway/src/peers/waiting_notes.rs
+++ b/crates/gateway/src/peers/waiting_notes.rs
@@ -1,11 +1,11 @@
-//! What waits to be told to other VMs with the next digest.
+//! Messages that wait to be sent to other VMs with the next digest.
 
 use std::sync::{Mutex, PoisonError};
 
-/// Notes of one kind that wait at most: those beyond it are not told, so that a digest fits into a datagram.
-pub(crate) const NOTES_MOST: usize = 64;
+/// Pending messages of one kind; further ones are dropped, so that a digest fits into a datagram.
+pub(crate) const MAX_MESSAGES: usize = 64;
 
-/// Notes that wait to be told.
+/// Messages of one kind that wait to be sent.
 #[derive(Debug)]
 pub(crate) struct WaitingNotes<T>(Mutex<Vec<T>>);
 
@@ -16,15 +16,15 @@
 }
 
 impl<T> WaitingNotes<T> {
-    /// Adds a note.
-    pub(crate) fn push(&self, note: T) {
-        let mut notes = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if notes.len() < NOTES_MOST {
-            notes.push(note);
+    /// Adds a message.
+    pub(crate) fn push(&self, message: T) {
+        let mut messages = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if messages.len() < MAX_MESSAGES {
+            messages.push(message);
         }
     }
 
-    /// Takes all that wait.
+    /// Takes all pending messages.
     pub(crate) fn take(&self) -> Vec<T> {
         std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
--- a/crates/gateway/src/store/call_link.rs
+++ b/crates/gateway/src/store/call_link.rs
@@ -1,11 +1,11 @@
-//! Calls to the platform's store and to engines' own interfaces, over kept connections.
+//! HTTP calls to the platform's store and to engines' own interfaces, over persistent connections.
 //!
-//! Invariant: a connection on which an answer failed to come is never used again. Whether a call
-//! that got no answer was done is unknown; callers make their calls conditional or repeatable.
+//! Invariant: a connection on which an answer failed to arrive is never used again. A call without an answer
+//! may or may not have been carried out; callers make their calls conditional or repeatable.
 //!
-//! Small answers are waited for until a deadline. Of an answer that may be large the deadline bounds the
-//! wait for its head only: over a narrow link its body takes as long as it takes, a limit on the whole
-//! would fail each time, and a repeated call begins at the first byte again.
+//! A small answer must be complete by a deadline. For an answer that may be large, the deadline bounds only
+//! the wait for its head: its body takes as long as a narrow link needs. A limit on the whole answer would
+//! fail each time, since a repeated call begins at the first byte again.
 
 use crate::WireCall;
 use crate::endpoints::endpoint_pool::open_stream;
@@ -21,15 +21,15 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// A large answer that brings nothing for this long has broken off: several retransmissions fit, and large
-/// frames over links of 10 Mbit/s that others use too.
-const BODY_SILENCE: Duration = Duration::from_secs(1);
+/// Timeout for the next frame of a large answer. It leaves time for several retransmissions, and for large
+/// frames over links of 10 Mbit/s that carry other traffic too.
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A large answer that comes more slowly than this on the whole, in bytes a second, is as good as silent: a
-/// hundredth of a link of 10 Mbit/s.
-const LEAST_BYTES_PER_S: u64 = 12_500;
+/// Lowest mean rate of a large answer's body; a slower one has broken off. A hundredth of a link of 10
+/// Mbit/s.
+const MIN_BODY_BYTES_PER_S: u64 = 12_500;
 
-/// Why a call brought no answer; it may have been done.
+/// Why a call got no answer. The call may have been carried out.
 #[derive(Debug, thiserror::Error)]
 #[error("no answer: {0}")]
 pub(crate) struct LinkError(String);
@@ -40,7 +40,7 @@
     }
 }
 
-/// An answer.
+/// The answer to a call.
 #[derive(Debug)]
 pub(crate) struct CallReply {
     pub status: u16,
@@ -48,23 +48,23 @@
     pub body: Bytes,
 }
 
-/// What a call brought.
+/// The answer to a call, or why there is none.
 pub(crate) type CallAnswer = Result<CallReply, LinkError>;
 
-/// One caller's connection to one place.
+/// A caller's persistent connection to one address.
 #[derive(Debug)]
 pub(crate) struct CallLink {
     address: SocketAddr,
-    open: Option<OpenCall>,
+    connection: Option<OpenConnection>,
 }
 
 #[derive(Debug)]
-struct OpenCall {
+struct OpenConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
 }
 
-impl Drop for OpenCall {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
@@ -72,48 +72,49 @@
 
 impl CallLink {
     pub(crate) const fn new(address: SocketAddr) -> Self {
-        Self { address, open: None }
+        Self { address, connection: None }
     }
 
-    /// Makes one call whose whole answer comes before `deadline`; gives the answer.
+    /// Makes a call and returns its answer, which must be complete by `deadline`.
     pub(crate) async fn call(&mut self, call: &WireCall, deadline: Instant) -> CallAnswer {
         self.exchange(call, deadline, |_| deadline).await
     }
 
-    /// Makes one call whose answer begins before `deadline` and may be large.
+    /// Makes a call whose answer may be large; its head must arrive by `deadline`.
     pub(crate) async fn call_large(&mut self, call: &WireCall, deadline: Instant) -> CallAnswer {
-        self.exchange(call, deadline, |received| {
-            let earned = Duration::from_millis(received as u64 * 1_000 / LEAST_BYTES_PER_S);
-            (Instant::now() + BODY_SILENCE).min(deadline + BODY_SILENCE + earned)
+        self.exchange(call, deadline, |received_bytes| {
+            let transfer_time = Duration::from_millis(received_bytes as u64 * 1_000 / MIN_BODY_BYTES_PER_S);
+            (Instant::now() + BODY_IDLE_TIMEOUT).min(deadline + BODY_IDLE_TIMEOUT + transfer_time)
         })
         .await
     }
 
-    /// Makes one call; `frame_deadline` tells by the bytes received until when the next frame must come.
+    /// Makes a call; `frame_deadline` maps the bytes received so far to the deadline of the next frame.
     async fn exchange(
         &mut self,
         call: &WireCall,
         deadline: Instant,
         frame_deadline: impl Fn(usize) -> Instant,
     ) -> CallAnswer {
-        let kept = self.open.take();
-        let sent = tokio::time::timeout_at(deadline, send(self.address, kept, call)).await;
-        let (response, link) = sent.map_err(|_elapsed| LinkError("no answer in time".to_owned()))??;
+        let open_connection = self.connection.take();
+        let send_result = tokio::time::timeout_at(deadline, send(self.address, open_connection, call)).await;
+        let (response, connection) =
+            send_result.map_err(|_elapsed| LinkError("no answer in time".to_owned()))??;
         let (head, body) = response.into_parts();
         let body = read_body(body, frame_deadline).await?;
-        self.open = Some(link);
+        self.connection = Some(connection);
         Ok(CallReply { status: head.status.as_u16(), headers: head.headers, body })
     }
 }
 
-/// Sends a call over the kept connection or a new one; gives the answer's head.
+/// Sends a call over the open connection or a new one; returns the answer's head.
 async fn send(
     address: SocketAddr,
-    kept: Option<OpenCall>,
+    open_connection: Option<OpenConnection>,
     call: &WireCall,
-) -> Result<(Response<Incoming>, OpenCall), LinkError> {
-    let mut link = match kept {
-        Some(link) if !link.sender.is_closed() => link,
+) -> Result<(Response<Incoming>, OpenConnection), LinkError> {
+    let mut connection = match open_connection {
+        Some(connection) if !connection.sender.is_closed() => connection,
         _ => open(address).await?,
     };
     let mut request =
@@ -126,12 +127,12 @@
     }
     let body = Full::new(Bytes::from(call.body.clone().unwrap_or_default()));
     let request = request.body(body).map_err(|error| LinkError(error.to_string()))?;
-    link.sender.ready().await?;
-    let response = link.sender.send_request(request).await?;
-    Ok((response, link))
+    connection.sender.ready().await?;
+    let response = connection.sender.send_request(request).await?;
+    Ok((response, connection))
 }
 
-/// Reads an answer's body; `frame_deadline` as for an exchange.
+/// Reads an answer's body, each frame by its `frame_deadline`.
 async fn read_body(
     mut body: Incoming,
     frame_deadline: impl Fn(usize) -> Instant,
@@ -142,17 +143,17 @@
             return Err(LinkError(format!("the answer broke off after {} bytes", content.len())));
         };
         let Some(frame) = frame else { return Ok(content.into()) };
-        if let Ok(piece) = frame?.into_data() {
-            content.extend_from_slice(&piece);
+        if let Ok(chunk) = frame?.into_data() {
+            content.extend_from_slice(&chunk);
         }
     }
 }
 
-async fn open(address: SocketAddr) -> Result<OpenCall, LinkError> {
+async fn open(address: SocketAddr) -> Result<OpenConnection, LinkError> {
     let stream = open_stream(address).await.map_err(|error| LinkError(error.to_string()))?;
-    let (sender, connection) =
+    let (sender, http_connection) =
         http1::handshake(TokioIo::new(stream)).await.map_err(|error| LinkError(error.to_string()))?;
-    // How the connection ends is told by the call that uses it.
-    let driver = tokio::spawn(async move { drop(connection.await) }).abort_handle();
-    Ok(OpenCall { sender, driver })
+    // An error of the connection is reported by the call that uses it.
+    let driver = tokio::spawn(async move { drop(http_connection.await) }).abort_handle();
+    Ok(OpenConnection { sender, driver })
 }
--- a/crates/gateway/src/store/lease_keeper.rs
+++ b/crates/gateway/src/store/lease_keeper.rs
@@ -1,8 +1,8 @@
-//! This VM's lease in the store: its entry among the VMs, and the right to order engines.
+//! This VM's lease in the store, which carries its entry in the VM list and the right to order engines.
 //!
-//! Invariant: the right counts by this VM's monotonic clock from the moment before the renewal was
-//! sent, less a margin; when that moment has passed, nothing more is ordered, whatever the store
-//! says later. The store ends the lease of a VM that died, and with it both keys.
+//! Invariant: the right is valid, by this VM's monotonic clock, for the lease's lifetime less a margin,
+//! counted from the moment before the renewal was sent. After that nothing more is ordered, whatever the
+//! store answers later. The store ends the lease of a VM that died, and with it both keys.
 
 use crate::gateway::Gateway;
 use crate::store::store_link::StoreLink;
@@ -20,59 +20,61 @@
 /// Key of the holder of the right to order engines.
 pub(crate) const ORDERS_KEY: &str = "spanfold/orders";
 
-/// VMs that take a free right one soon after the other; the others do so only if none of these does.
-const CANDIDATES: usize = 4;
-/// VMs that start together know one another after so long, in milliseconds.
-const RANK_KNOWN_MILLIS: u64 = 2_000;
-/// Time for which a candidate asks its lease, in milliseconds: a dead holder is replaced soon after.
+/// Number of VMs, by name, that hold short leases and claim a free right soon one after the other. The others
+/// claim it only if none of these does.
+const MAX_CANDIDATES: usize = 4;
+/// VMs that start together have recorded one another after this long, in milliseconds.
+const STARTUP_DELAY_MILLIS: u64 = 2_000;
+/// Lifetime of a candidate's lease, in milliseconds: a dead holder is replaced soon after.
 const CANDIDATE_LEASE_MILLIS: u64 = 2_500;
-/// Pause between a candidate's renewals: two may fail before the right lapses.
-const CANDIDATE_RENEW_PAUSE: Duration = Duration::from_millis(700);
-/// Time for which the others ask theirs, in milliseconds: that a VM is gone is learned from its silence.
+/// Interval between a candidate's renewals: two may fail before the right expires.
+const CANDIDATE_RENEWAL_INTERVAL: Duration = Duration::from_millis(700);
+/// Lifetime of the other VMs' leases, in milliseconds. That such a VM is gone is detected by its silence
+/// timeout.
 const LONG_LEASE_MILLIS: u64 = 10_000;
-/// Pause between the others' renewals.
-const LONG_RENEW_PAUSE: Duration = Duration::from_millis(2_800);
-/// The right ends this long before the lease does, in milliseconds.
-const SAFETY_MILLIS: u64 = 800;
-/// First pause after a failed call, doubled with each further one: calls are priced, refused ones too.
-const FAILURE_PAUSE: Duration = Duration::from_millis(200);
-/// Longest pause after failed calls: a lease lapses if its store is away for longer than it lasts, and
-/// is taken anew this much later at most.
-const FAILURE_PAUSE_MOST: Duration = Duration::from_millis(800);
-/// VMs try for a free right one after the other, in the order of their names, so far apart.
-const RANK_PAUSE_MILLIS: u64 = 200;
-/// A new holder waits this much longer than it must: its predecessor stopped `SAFETY_MILLIS` before
-/// the lease ended, and orders of two holders may not mix for a while after that.
-const SETTLE_EXTRA_MILLIS: u64 = 400;
+/// Interval between the other VMs' renewals.
+const LONG_RENEWAL_INTERVAL: Duration = Duration::from_millis(2_800);
+/// The right expires this long before the lease does, in milliseconds.
+const LEASE_MARGIN_MILLIS: u64 = 800;
+/// Delay after the first failed call, doubled with each further one: calls are priced, refused ones too.
+const FIRST_FAILURE_BACKOFF: Duration = Duration::from_millis(200);
+/// Longest delay after failed calls. A lease expires if the store is unreachable for longer than its
+/// lifetime, and is then taken again at most this much later.
+const MAX_FAILURE_BACKOFF: Duration = Duration::from_millis(800);
+/// VMs try to claim a free right in the order of their names, this many milliseconds apart.
+const CLAIM_STEP_MILLIS: u64 = 200;
+/// Extra time that a new holder waits, in milliseconds. Its predecessor stopped `LEASE_MARGIN_MILLIS` before
+/// the lease ended, and orders of two holders must not mix for a while after that.
+const TAKEOVER_MARGIN_MILLIS: u64 = 400;
 
-/// How long a lease lasts and when it is renewed.
+/// Lifetime of a lease and the interval between its renewals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct LeaseTerms {
     lease_millis: u64,
-    renew_pause: Duration,
+    renewal_interval: Duration,
 }
 
 impl LeaseTerms {
-    /// The terms for the VM at place `rank` in the order of names; none while it is not known.
+    /// Returns the terms for the VM with this index by name; none is an index that isn't known yet.
     ///
-    /// VMs that start together know nobody: each would take itself for the first one, and renew as often, for as long as it
-    /// runs.
-    const fn for_rank(rank: Option<usize>) -> Self {
-        let Some(rank) = rank else {
-            return Self { lease_millis: LONG_LEASE_MILLIS, renew_pause: LONG_RENEW_PAUSE };
+    /// VMs that start together have not recorded one another yet: each would take itself for the first by
+    /// name, and would renew at a candidate's interval as long as it runs.
+    const fn for_name_index(name_index: Option<usize>) -> Self {
+        let Some(name_index) = name_index else {
+            return Self { lease_millis: LONG_LEASE_MILLIS, renewal_interval: LONG_RENEWAL_INTERVAL };
         };
-        if rank < CANDIDATES {
-            Self { lease_millis: CANDIDATE_LEASE_MILLIS, renew_pause: CANDIDATE_RENEW_PAUSE }
+        if name_index < MAX_CANDIDATES {
+            Self { lease_millis: CANDIDATE_LEASE_MILLIS, renewal_interval: CANDIDATE_RENEWAL_INTERVAL }
         } else {
-            Self { lease_millis: LONG_LEASE_MILLIS, renew_pause: LONG_RENEW_PAUSE }
+            Self { lease_millis: LONG_LEASE_MILLIS, renewal_interval: LONG_RENEWAL_INTERVAL }
         }
     }
 }
 
-/// The right to order engines, as this VM has it.
+/// This VM's right to order engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct OrderRight {
-    /// Fencing token: where in the store's history the right was taken; zero if it is not held.
+    /// Fencing token: the position at which the right was claimed; zero if it is not held.
     pub fencing: u64,
     /// No order before this moment.
     pub from: Moment,
@@ -80,7 +82,7 @@
     pub until: Moment,
 }
 
-/// Keeps the lease, the VM's entry and, where it is free, the right to order engines.
+/// Maintains the lease, the VM's entry and, where it is free, the right to order engines.
 pub(crate) async fn keep_lease(
     gateway: Arc<Gateway>,
     mut orders: watch::Receiver<OrdersView>,
@@ -89,36 +91,36 @@
     let mut keeper = LeaseKeeper {
         link: StoreLink::new(&gateway, "lease"),
         lease: None,
-        safe_until: Moment(0),
+        lease_safe_until: Moment(0),
         free_since: None,
-        terms: LeaseTerms::for_rank(None),
-        known_at: gateway.now().after_millis(RANK_KNOWN_MILLIS),
+        terms: LeaseTerms::for_name_index(None),
+        peers_known_at: gateway.now().after_millis(STARTUP_DELAY_MILLIS),
         failures: 0,
         right,
         gateway,
     };
     let mut renew_at = Instant::now();
     while !keeper.gateway.is_stopping() {
-        if keeper.lose_old_lease() || (keeper.failures == 0 && keeper.needs_shorter_lease()) {
+        if keeper.drop_outdated_lease() || (keeper.failures == 0 && keeper.needs_shorter_lease()) {
             renew_at = Instant::now();
         }
         if Instant::now() >= renew_at {
             renew_at = Instant::now() + keeper.renew().await;
         }
         let view = orders.borrow_and_update().clone();
-        keeper.seek_right(&view).await;
-        let wake = renew_at.min(Instant::now() + Duration::from_millis(RANK_PAUSE_MILLIS));
+        keeper.claim_free_right(&view).await;
+        let wake = renew_at.min(Instant::now() + Duration::from_millis(CLAIM_STEP_MILLIS));
         tokio::select! {
             () = tokio::time::sleep_until(wake) => {}
             changed = orders.changed() => if changed.is_err() { return },
         }
     }
-    keeper.give_up().await;
+    keeper.release_lease().await;
 }
 
-/// A lease, and the era of the store that granted it: ids of leases are given out again in the next one.
+/// A lease with the era of the store that granted it: the next era assigns the ids of leases again.
 #[derive(Clone, Copy, Debug)]
-struct HeldLease {
+struct GrantedLease {
     id: u64,
     era: Option<u64>,
 }
@@ -126,139 +128,143 @@
 struct LeaseKeeper {
     gateway: Arc<Gateway>,
     link: StoreLink,
-    lease: Option<HeldLease>,
-    /// The lease is safe until then, by this VM's clock.
-    safe_until: Moment,
+    lease: Option<GrantedLease>,
+    /// The lease is valid until then, by this VM's clock, with the margin deducted.
+    lease_safe_until: Moment,
     free_since: Option<Moment>,
-    /// Terms of the present lease.
+    /// Terms of the current lease.
     terms: LeaseTerms,
-    /// From then on it knows the VMs that started with it.
-    known_at: Moment,
-    /// Failed calls in a row.
+    /// The VMs that started together with this one are recorded from then on.
+    peers_known_at: Moment,
+    /// Consecutive failed calls.
     failures: u32,
     right: watch::Sender<OrderRight>,
 }
 
 impl LeaseKeeper {
-    /// Drops a lease of an era that is over, and all that rests on it; whether there was one.
-    fn lose_old_lease(&mut self) -> bool {
+    /// Drops a lease of a past era, and all that depends on it; returns whether there was one.
+    fn drop_outdated_lease(&mut self) -> bool {
         let era = self.gateway.era.known();
-        let is_old = self.lease.is_some_and(|lease| lease.era != era);
-        if is_old {
-            self.lose_lease("the store was restored from a copy");
+        let is_outdated = self.lease.is_some_and(|lease| lease.era != era);
+        if is_outdated {
+            self.drop_lease("the store was restored from a copy");
         }
-        is_old
+        is_outdated
     }
 
-    /// This VM's place in the order of names; none while it does not know those that started with it.
-    fn rank(&self) -> Option<usize> {
-        (self.gateway.now() >= self.known_at).then(|| self.gateway.peers().own_rank())
+    /// Returns this VM's index by name; none until the VMs that started together are recorded.
+    fn name_index(&self) -> Option<usize> {
+        (self.gateway.now() >= self.peers_known_at).then(|| self.gateway.peers().own_rank())
     }
 
-    /// Whether the present lease is longer than that of a VM that may take the right: it takes a new one first.
+    /// Whether the current lease is longer than that of a candidate. A new lease is then taken first.
     fn needs_shorter_lease(&self) -> bool {
-        let wanted = LeaseTerms::for_rank(self.rank());
-        self.lease.is_some() && wanted.lease_millis < self.terms.lease_millis
+        let required_terms = LeaseTerms::for_name_index(self.name_index());
+        self.lease.is_some() && required_terms.lease_millis < self.terms.lease_millis
     }
 
-    fn lose_lease(&mut self, reason: &str) {
+    fn drop_lease(&mut self, reason: &str) {
         if let Some(lease) = self.lease.take() {
             log::warn!(lease = lease.id, reason; "lease.lost");
         }
         self.right.send_replace(OrderRight::default());
     }
 
-    /// Renews the lease or takes a new one; gives the pause until the next renewal.
+    /// Renews the lease or takes a new one; returns the delay until the next renewal.
     async fn renew(&mut self) -> Duration {
-        let asked_at = self.gateway.now();
+        let sent_at = self.gateway.now();
         let dialect = self.gateway.dialect.store;
         if let Some(lease) = self.lease.filter(|_| !self.needs_shorter_lease()) {
             match self.call("renew", &(dialect.renew)(lease.id), dialect.read_renew).await {
                 Some(Ok(ttl_millis)) => {
                     self.failures = 0;
-                    self.extend(asked_at, ttl_millis);
-                    return self.terms.renew_pause;
+                    self.record_renewal(sent_at, ttl_millis);
+                    return self.terms.renewal_interval;
                 }
-                Some(Err(StoreRefusal::LeaseGone)) => self.lose_lease("it has ended"),
-                Some(Err(StoreRefusal::Restored)) => self.lose_lease("the store was restored from a copy"),
-                _ => return self.failure_pause(),
+                Some(Err(StoreRefusal::LeaseGone)) => self.drop_lease("it has ended"),
+                Some(Err(StoreRefusal::Restored)) => self.drop_lease("the store was restored from a copy"),
+                _ => return self.next_failure_backoff(),
             }
         }
-        let asked_at = self.gateway.now();
-        self.terms = LeaseTerms::for_rank(self.rank());
+        let sent_at = self.gateway.now();
+        self.terms = LeaseTerms::for_name_index(self.name_index());
         let call = (dialect.grant)(self.terms.lease_millis);
         let Some(Ok(grant)) = self.call("grant", &call, dialect.read_grant).await else {
-            return self.failure_pause();
+            return self.next_failure_backoff();
         };
-        if !self.enter(grant.lease).await {
-            return self.failure_pause();
+        if !self.write_entry(grant.lease).await {
+            return self.next_failure_backoff();
         }
-        self.lease = Some(HeldLease { id: grant.lease, era: self.gateway.era.known() });
-        self.safe_until = Moment(0);
-        self.extend(asked_at, grant.ttl_millis);
+        self.lease = Some(GrantedLease { id: grant.lease, era: self.gateway.era.known() });
+        self.lease_safe_until = Moment(0);
+        self.record_renewal(sent_at, grant.ttl_millis);
         self.failures = 0;
         log::info!(lease = grant.lease, ttl_millis = grant.ttl_millis; "lease.taken");
-        self.terms.renew_pause
+        self.terms.renewal_interval
     }
 
-    /// The pause after a failed call.
-    fn failure_pause(&mut self) -> Duration {
-        let pause = FAILURE_PAUSE * (1 << self.failures.min(4));
+    /// Returns the backoff after a failed call.
+    fn next_failure_backoff(&mut self) -> Duration {
+        let backoff = FIRST_FAILURE_BACKOFF * (1 << self.failures.min(4));
         self.failures += 1;
-        pause.min(FAILURE_PAUSE_MOST)
+        backoff.min(MAX_FAILURE_BACKOFF)
     }
 
-    fn extend(&mut self, asked_at: Moment, ttl_millis: u64) {
-        self.safe_until = asked_at.after_millis(ttl_millis.saturating_sub(SAFETY_MILLIS));
-        let until = self.safe_until;
-        self.gateway.list_standing().list_until(until, self.gateway.now());
+    fn record_renewal(&mut self, sent_at: Moment, ttl_millis: u64) {
+        self.lease_safe_until = sent_at.after_millis(ttl_millis.saturating_sub(LEASE_MARGIN_MILLIS));
+        let safe_until = self.lease_safe_until;
+        self.gateway.list_standing().list_until(safe_until, self.gateway.now());
         self.right.send_modify(|right| {
             if right.fencing != 0 {
-                right.until = until;
+                right.until = safe_until;
             }
         });
     }
 
     /// Writes this VM's entry under the lease.
-    async fn enter(&mut self, lease: u64) -> bool {
+    async fn write_entry(&mut self, lease: u64) -> bool {
         let entry = self.gateway.peers().own().clone();
         let key = format!("{VM_PREFIX}{}", entry.name);
-        let write =
-            StoreTransaction { writes: vec![(key, json(&entry), lease)], ..StoreTransaction::default() };
+        let transaction =
+            StoreTransaction { writes: vec![(key, to_json(&entry), lease)], ..StoreTransaction::default() };
         let dialect = self.gateway.dialect.store;
-        matches!(self.call("write", &(dialect.transact)(&write), dialect.read_transact).await, Some(Ok(_)))
+        matches!(
+            self.call("write", &(dialect.transact)(&transaction), dialect.read_transact).await,
+            Some(Ok(_))
+        )
     }
 
-    /// Takes the right to order engines if nobody holds it, or an earlier process of this VM does.
-    async fn seek_right(&mut self, view: &OrdersView) {
+    /// Claims the right to order engines if it is free, or if a previous process of this VM holds it.
+    async fn claim_free_right(&mut self, view: &OrdersView) {
         let Some(lease) = self.lease else { return };
-        // Its lease may be too long for that, until its place is known.
-        if self.rank().is_none() {
+        // Until the index by name is known, the lease may be too long for a holder.
+        if self.name_index().is_none() {
             return;
         }
         let now = self.gateway.now();
-        if now >= self.safe_until {
+        if now >= self.lease_safe_until {
             return;
         }
-        let own = self.own_record(lease.id);
+        let own = self.own_holder(lease.id);
         let holder = view.holder.as_ref().filter(|(_, position)| Some(position.era) == lease.era);
-        let standing = holder.map(|(record, position)| (record.standing(&own), *position));
-        let settled = self.settle_millis();
-        let (position, settle) = match standing {
+        let ownership = holder.map(|(holder, position)| (holder.standing(&own), *position));
+        let takeover_delay_millis = self.takeover_delay_millis();
+        let (expected_position, delay_millis) = match ownership {
             Some((LeaseOwnership::Own, position)) => {
-                self.hold(position);
+                self.adopt_right(position);
                 return;
             }
-            // Taken a moment ago, and the watch has not told yet.
+            // Claimed a moment ago; the watch has not returned it yet.
             Some((LeaseOwnership::PreviousProcess | LeaseOwnership::Expired, _)) | None
                 if self.right.borrow().fencing != 0 =>
             {
                 return;
             }
             Some((LeaseOwnership::PreviousProcess, position)) => (Some(position), 0),
-            // The record goes with its lease, unless the store was restored from a copy that holds it without one. It is
-            // written over as it stands: if another VM has taken the right meanwhile, the condition fails.
-            Some((LeaseOwnership::Expired, position)) => (Some(position), settled),
+            // The holder's key is removed with its lease, unless the store was restored from a backup that
+            // contains the key without the lease. It is overwritten at its stored position: if another VM has
+            // claimed the right meanwhile, the condition fails.
+            Some((LeaseOwnership::Expired, position)) => (Some(position), takeover_delay_millis),
             Some((LeaseOwnership::Other, _)) => {
                 self.free_since = None;
                 if self.right.borrow().fencing != 0 {
@@ -269,65 +275,65 @@
             }
             None => {
                 let since = *self.free_since.get_or_insert(now);
-                let rank = self.gateway.peers().own_rank() as u64;
-                if now < since.after_millis(RANK_PAUSE_MILLIS * rank) {
+                let name_index = self.gateway.peers().own_rank() as u64;
+                if now < since.after_millis(CLAIM_STEP_MILLIS * name_index) {
                     return;
                 }
-                (None, settled)
+                (None, takeover_delay_millis)
             }
         };
-        self.take_right(lease.id, position, settle).await;
+        self.claim_right(lease.id, expected_position, delay_millis).await;
     }
 
-    /// How long a new holder waits before its first order, in milliseconds.
-    fn settle_millis(&self) -> u64 {
-        self.gateway.settings.lease_ms.saturating_sub(SAFETY_MILLIS) + SETTLE_EXTRA_MILLIS
+    /// Delay before a new holder's first order, in milliseconds.
+    fn takeover_delay_millis(&self) -> u64 {
+        self.gateway.settings.lease_ms.saturating_sub(LEASE_MARGIN_MILLIS) + TAKEOVER_MARGIN_MILLIS
     }
 
-    fn own_record(&self, lease: u64) -> LeaseHolder {
+    fn own_holder(&self, lease: u64) -> LeaseHolder {
         let name = self.gateway.settings.name.clone();
         LeaseHolder { name, incarnation: self.gateway.incarnation, lease }
     }
 
-    async fn take_right(&mut self, lease: u64, standing_at: Option<StorePosition>, settle_millis: u64) {
-        let record = self.own_record(lease);
-        let take = StoreTransaction {
-            conditions: vec![(ORDERS_KEY.to_owned(), standing_at)],
-            writes: vec![(ORDERS_KEY.to_owned(), json(&record), lease)],
+    async fn claim_right(&mut self, lease: u64, expected_position: Option<StorePosition>, delay_millis: u64) {
+        let holder = self.own_holder(lease);
+        let transaction = StoreTransaction {
+            conditions: vec![(ORDERS_KEY.to_owned(), expected_position)],
+            writes: vec![(ORDERS_KEY.to_owned(), to_json(&holder), lease)],
             removals: Vec::new(),
         };
         let dialect = self.gateway.dialect.store;
-        let taken = self.call("write", &(dialect.transact)(&take), dialect.read_transact).await;
-        if let Some(Ok(position)) = taken {
+        let answer = self.call("write", &(dialect.transact)(&transaction), dialect.read_transact).await;
+        if let Some(Ok(position)) = answer {
             let fencing = position.fencing();
-            let from = self.gateway.now().after_millis(settle_millis);
-            self.right.send_replace(OrderRight { fencing, from, until: self.safe_until });
-            log::info!(fencing, settle_millis; "orders.right_taken");
+            let from = self.gateway.now().after_millis(delay_millis);
+            self.right.send_replace(OrderRight { fencing, from, until: self.lease_safe_until });
+            log::info!(fencing, settle_millis = delay_millis; "orders.right_taken");
         }
         self.free_since = None;
     }
 
-    /// Learns from the store that the right is held by this process, if the answer was lost.
-    fn hold(&mut self, position: StorePosition) {
+    /// Adopts a right that the store shows for this process, if the answer to the claim was lost.
+    fn adopt_right(&mut self, position: StorePosition) {
         self.free_since = None;
         let fencing = position.fencing();
-        if self.right.borrow().fencing == fencing || self.gateway.now() >= self.safe_until {
+        if self.right.borrow().fencing == fencing || self.gateway.now() >= self.lease_safe_until {
             return;
         }
-        let settle = self.settle_millis();
-        let from = self.gateway.now().after_millis(settle);
-        self.right.send_replace(OrderRight { fencing, from, until: self.safe_until });
+        let delay_millis = self.takeover_delay_millis();
+        let from = self.gateway.now().after_millis(delay_millis);
+        self.right.send_replace(OrderRight { fencing, from, until: self.lease_safe_until });
         log::info!(fencing, reason = "found in the store"; "orders.right_taken");
     }
 
-    /// Ends the lease at a planned stop, so that others need not wait for it to lapse.
-    async fn give_up(&mut self) {
+    /// Ends the lease at a planned stop, so that other VMs need not wait until it expires.
+    async fn release_lease(&mut self) {
         self.right.send_replace(OrderRight::default());
-        self.lose_old_lease();
+        self.drop_outdated_lease();
         if let Some(lease) = self.lease.take() {
             let call = (self.gateway.dialect.store.end)(lease.id);
-            let done: StoreDecoder<()> = |_| Ok(());
-            let _ = self.call("end", &call, done).await;
+            let decoder: StoreDecoder<()> = |_| Ok(());
+            let _ = self.call("end", &call, decoder).await;
         }
     }
 
@@ -335,9 +341,9 @@
         &mut self,
         kind: &str,
         call: &WireCall,
-        read: StoreDecoder<T>,
+        decoder: StoreDecoder<T>,
     ) -> Option<Result<T, StoreRefusal>> {
-        let result = self.link.call(kind, call, read).await;
+        let result = self.link.call(kind, call, decoder).await;
         if matches!(result, None | Some(Err(StoreRefusal::NotDone(_)))) {
             self.gateway.note_store_trouble(self.gateway.now());
         }
@@ -345,7 +351,7 @@
     }
 }
 
-fn json<T: serde::Serialize>(value: &T) -> Vec<u8> {
+fn to_json<T: serde::Serialize>(value: &T) -> Vec<u8> {
     // Plain structs of texts and numbers always have a JSON form.
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/crates/gateway/src/store/mod.rs
+++ b/crates/gateway/src/store/mod.rs
@@ -1,16 +1,16 @@
-//! What is read from the platform's store and written to it, and what VMs hand to one another of it.
+//! Access to the platform's store, and propagation of its contents between VMs.
 
 pub(crate) mod call_link;
-mod copy_client;
-mod copy_port;
-pub(crate) mod era_watch;
+pub(crate) mod era_check;
 pub(crate) mod follow;
 pub(crate) mod lease_keeper;
-pub(crate) mod news_teller;
+mod snapshot_client;
+mod snapshot_port;
 pub(crate) mod store_era;
 pub(crate) mod store_link;
-pub(crate) mod store_news;
+pub(crate) mod store_updates;
 pub(crate) mod store_view;
+pub(crate) mod update_propagator;
 
-pub(crate) use copy_client::fetch_copy;
-pub(crate) use copy_port::{CopyDesk, answer_copy, sweep_copies};
+pub(crate) use snapshot_client::fetch_snapshot;
+pub(crate) use snapshot_port::{CopyDesk, answer_copy, sweep_copies};
--- a/crates/gateway/src/store/store_era.rs
+++ b/crates/gateway/src/store/store_era.rs
@@ -1,24 +1,24 @@
-//! The newest era of the store that this VM knows: a store that is restored from a copy begins a new one.
+//! The newest era of the store: a store that is restored from a backup begins a new one.
 //!
-//! Invariant: what is known never falls.
+//! Invariant: the recorded era never decreases.
 
 use std::sync::{Mutex, PoisonError};
 
-/// The newest era that was told; none before the first answer.
+/// The newest era that was reported; none before the first answer.
 #[derive(Debug, Default)]
 pub(crate) struct StoreEra(Mutex<Option<u64>>);
 
 impl StoreEra {
-    /// The newest era that was told.
+    /// Returns the newest era that was reported.
     pub(crate) fn known(&self) -> Option<u64> {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes an era; whether it follows one that was known before.
-    pub(crate) fn raise(&self, era: u64) -> bool {
-        let mut known = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let has_risen = known.is_some_and(|known| known < era);
-        *known = Some(known.map_or(era, |known| known.max(era)));
-        has_risen
+    /// Records an era; returns whether it follows an earlier one.
+    pub(crate) fn record(&self, era: u64) -> bool {
+        let mut newest = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_newer = newest.is_some_and(|newest| newest < era);
+        *newest = Some(newest.map_or(era, |newest| newest.max(era)));
+        is_newer
     }
 }
--- a/crates/gateway/src/store/store_link.rs
+++ b/crates/gateway/src/store/store_link.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store by tasks that make one call after the other.
+//! Sequential calls of one task to the platform's store.
 
 use crate::gateway::Gateway;
 use crate::operators::gateway_metrics::KindLabel;
@@ -8,15 +8,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A call that takes longer has failed.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// One task's connection to the store.
+/// A task's connection to the store.
 #[derive(Debug)]
 pub(crate) struct StoreLink {
     gateway: Arc<Gateway>,
     link: CallLink,
-    /// What the task is about, for logs.
+    /// The task's purpose, for logs.
     purpose: &'static str,
 }
 
@@ -25,25 +25,26 @@
         Self { gateway: Arc::clone(gateway), link: CallLink::new(gateway.settings.store), purpose }
     }
 
-    /// Makes a call of `kind`; none if it was not answered, and then it may have been done.
+    /// Makes a call of `kind`; none if it got no answer, and then it may have been carried out.
     ///
-    /// What a call rests on, a lease or a condition, is of the era known when it is made: if the answer is of a new one, the
-    /// call met another content, and it may have been done all the same.
+    /// A lease or a condition that a call depends on belongs to the era at the time of the call. If the
+    /// answer is of a new era, the call reached a store with other contents, and it may have been carried out
+    /// there.
     pub(crate) async fn call<T>(
         &mut self,
         kind: &str,
         call: &WireCall,
-        read: StoreDecoder<T>,
+        decoder: StoreDecoder<T>,
     ) -> Option<Result<T, StoreRefusal>> {
         self.gateway.metrics.store_calls.get_or_create(&KindLabel::new(kind)).inc();
         let purpose = self.purpose;
         let era_before = self.gateway.era.known();
         match self.link.call(call, Instant::now() + CALL_TIMEOUT).await {
             Ok(reply) => {
-                let era = self.gateway.era_of(&reply.headers)?;
+                let era = self.gateway.checked_era(&reply.headers)?;
                 let is_restored = era_before.is_some_and(|before| before != era);
                 let reply = StoreReply { status: reply.status, era, body: &reply.body };
-                let result = if is_restored { Err(StoreRefusal::Restored) } else { read(&reply) };
+                let result = if is_restored { Err(StoreRefusal::Restored) } else { decoder(&reply) };
                 if let Err(error) = &result {
                     log::warn!(call = kind, purpose, cause:% = error; "store.refused");
                 }
--- /dev/null
+++ b/crates/gateway/src/store/store_updates.rs
@@ -0,0 +1,81 @@
+//! Updates of the platform's store that one VM of a data centre sends to the others.
+//!
+//! Invariant: an update states the position that it builds on. A VM that has not reached that position, or
+//! that misses a fragment, does not apply it; it requests the changes, in the end from the store itself,
+//! which loses nothing. So a lost datagram costs one call.
+
+use crate::{PIECE_BYTES, PropagationPlan, StoreEvent, StorePosition, UpdateFragment, split_update};
+use serde::{Deserialize, Serialize};
+use std::time::Duration;
+
+/// Shortest interval between fragments: they use half of a link of 10 Mbit/s, and callers have the other
+/// half.
+const SEND_INTERVAL: Duration = Duration::from_millis(25);
+/// Fraction of the sender's own link that fragments may use.
+const LINK_FRACTION: f64 = 0.5;
+/// Updates that take longer to send are fetched by each VM itself: a link of 10 Mbit/s transfers the largest
+/// value of a store in 1.2 s.
+const MAX_PROPAGATION_DELAY: Duration = Duration::from_millis(800);
+
+/// Changes in the platform's store.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct StoreUpdates {
+    /// The position that the changes build on.
+    pub from: StorePosition,
+    /// The position that is reached with them.
+    pub to: StorePosition,
+    /// The changes.
+    pub body: UpdateBody,
+    /// Whether it is for all VMs of the data centre, so that some of them relay it.
+    pub is_spread: bool,
+    /// Interval until the next fragment, if there is one, in microseconds.
+    pub pause_micros: u64,
+    /// Time since the store returned the changes, in microseconds.
+    pub age_micros: u64,
+    /// Time since a call to the store last failed, in microseconds, while it still matters.
+    pub trouble_micros: Option<u64>,
+}
+
+/// The changes of an update.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) enum UpdateBody {
+    /// No changes.
+    Unchanged,
+    /// One fragment of them.
+    Piece(UpdateFragment),
+    /// Too large to be sent to all targets: each VM fetches them.
+    TooLarge,
+}
+
+/// The messages of an update, and the interval between them.
+#[derive(Debug)]
+pub(crate) struct UpdatePlan {
+    pub bodies: Vec<UpdateBody>,
+    pub interval: Duration,
+}
+
+impl UpdatePlan {
+    /// Plans how a VM with a link of `link_mbps` sends `events`.
+    pub(crate) fn new(events: &[StoreEvent], propagation: &PropagationPlan, link_mbps: f64) -> Self {
+        let relayed_interval = fragment_interval(propagation.relayed_count, propagation.relay_mbps);
+        let interval = fragment_interval(propagation.targets.len(), link_mbps).max(relayed_interval);
+        let is_sendable = |fragments: &Vec<_>| {
+            fragments.len() <= 1 || interval * fragments.len() as u32 <= MAX_PROPAGATION_DELAY
+        };
+        let bodies = match split_update(events).filter(is_sendable) {
+            None => vec![UpdateBody::TooLarge],
+            Some(fragments) if fragments.is_empty() => vec![UpdateBody::Unchanged],
+            Some(fragments) => fragments.into_iter().map(UpdateBody::Piece).collect(),
+        };
+        Self { bodies, interval }
+    }
+}
+
+/// Time in which a VM sends one fragment to each of `targets` over its fraction of the link.
+fn fragment_interval(targets: usize, link_mbps: f64) -> Duration {
+    if targets == 0 {
+        return SEND_INTERVAL;
+    }
+    let micros = (targets * PIECE_BYTES * 8) as f64 / (link_mbps.max(1.0) * LINK_FRACTION);
+    SEND_INTERVAL.max(Duration::from_micros(micros as u64))
+}
--- a/crates/gateway/src/store/store_view.rs
+++ b/crates/gateway/src/store/store_view.rs
@@ -1,7 +1,9 @@
-//! What the store's items mean: configuration, endpoints, weight targets, VMs, the holder of orders.
+//! Applies the store's items: configuration, endpoints, weight targets, VMs, the holder of the right to
+//! order.
 //!
-//! Invariant: no key's older change replaces a newer one, so a change told twice or late does no harm. In what order
-//! changes came is told by era and revision: a store restored from a copy gives out revisions again.
+//! Invariant: an older change of a key never replaces a newer one, so a change that arrives twice or late
+//! does no harm. Changes are ordered by era and revision: a store restored from a backup assigns revisions
+//! again.
 
 use crate::LeaseHolder;
 use crate::gateway::Gateway;
@@ -20,59 +22,60 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::sync::watch;
 
-/// Key of the secret that authenticates messages between VMs; it stays as long as the deployment.
+/// Key of the secret that authenticates messages between VMs; it lasts as long as the deployment.
 pub(crate) const PEER_KEY_KEY: &str = "spanfold/peer-key";
 
-/// An endpoint's entry goes so long after its end, in microseconds: three heartbeats of 1.2 s.
-const LAPSE_MICROS: u64 = 3_400_000;
+/// Time between an endpoint's crash and the removal of its entry, in microseconds: three heartbeats of 1.2 s.
+const ENTRY_EXPIRY_DELAY_MICROS: u64 = 3_400_000;
 
-/// An evacuation that a store restored from a copy lacks goes on for so long, in milliseconds: the operator writes it again,
-/// as endpoints write their entries within some two seconds.
-const RESTORED_MILLIS: u64 = 5_000;
+/// An evacuation that a restored store lacks continues for this long, in milliseconds. The operator writes it
+/// again, as endpoints write their entries within some two seconds.
+const EVACUATION_GRACE_MILLIS: u64 = 5_000;
 
-/// A start may lie so far ahead of this VM's time of day, in milliseconds: clocks step by seconds. One beyond it would
-/// pass for the newest as long as the deployment lives.
-const FUTURE_MILLIS: u64 = 60_000;
+/// Largest lead of an endpoint's start time over this VM's wall clock, in milliseconds: clocks step by
+/// seconds. A start beyond it would count as the newest as long as the deployment lives.
+const MAX_START_LEAD_MILLIS: u64 = 60_000;
 
-/// What the tasks that order engines need to know of the store.
+/// The store's state that the tasks ordering engines use.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OrdersView {
-    /// The holder's record and when it was written; none if the key is absent.
+    /// The holder and the position at which it was written; none if the key is absent.
     pub holder: Option<(LeaseHolder, StorePosition)>,
 }
 
-/// From so many changes together on, endpoints are logged as one line: each line takes as long as the change itself.
-const BULK_LEAST: usize = 64;
+/// From this many changes together on, endpoints are logged in one line: each line takes as long as the
+/// change itself.
+const MIN_BULK_CHANGES: usize = 64;
 
-/// What is known of a key.
+/// Record of a key.
 #[derive(Clone, Copy, Debug)]
-struct KeyRow {
-    /// Its last change.
+struct KeyRecord {
+    /// Position of its last change.
     position: StorePosition,
-    /// The last listing that held it.
+    /// The last listing that contained it.
     listing: u32,
 }
 
-/// What a listing leaves for its end.
+/// Items that are applied at the end of a listing.
 #[derive(Debug, Default)]
 pub(crate) struct StoreListing {
     configuration: Option<StoreItem>,
 }
 
-/// The store's items as far as this VM knows them.
+/// The store's items as far as this VM has applied them.
 #[derive(Debug)]
 pub(crate) struct StoreView {
     gateway: Arc<Gateway>,
     orders: watch::Sender<OrdersView>,
-    /// Each known key's last change.
-    keys: HashMap<String, KeyRow>,
+    /// The last change of each key.
+    keys: HashMap<String, KeyRecord>,
     /// Number of the listing under way, or of the last one.
     listing: u32,
-    /// Whether many changes are taken together.
+    /// Whether many changes are being applied together.
     is_bulk: bool,
-    /// Endpoints that these brought.
+    /// Endpoints changed by these.
     bulk_count: usize,
-    /// When the configuration in force was written.
+    /// Position at which the configuration in force was written.
     configuration_at: StorePosition,
 }
 
@@ -89,25 +92,25 @@
         }
     }
 
-    pub(crate) fn holds(&self, key: &str) -> bool {
+    pub(crate) fn contains_key(&self, key: &str) -> bool {
         self.keys.contains_key(key)
     }
 
-    /// Whether other VMs need not be told of a change: a configuration that came later is in force.
+    /// Whether a change need not be propagated because a later configuration is in force.
     ///
-    /// A later one that was refused supersedes nothing.
+    /// A later configuration that was refused supersedes nothing.
     pub(crate) fn is_superseded(&self, event: &StoreEvent) -> bool {
         event.key() == self.gateway.dialect.keys.configuration && event.position() < self.configuration_at
     }
 
-    /// Begins a listing, which is taken page by page: thousands of items at once take more memory than all that is kept of
-    /// them.
+    /// Begins a listing, which is applied page by page: thousands of items at once take more memory than all
+    /// that is retained of them.
     pub(crate) fn begin_listing(&mut self) -> StoreListing {
         self.listing += 1;
         StoreListing::default()
     }
 
-    /// Logs how many endpoints many changes brought, in place of a line for each.
+    /// Logs how many endpoints a bulk of changes affected, in place of a line for each.
     fn end_bulk(&mut self, source: &str) {
         let (is_bulk, endpoints) = (std::mem::take(&mut self.is_bulk), std::mem::take(&mut self.bulk_count));
         if is_bulk && endpoints > 0 {
@@ -115,97 +118,100 @@
         }
     }
 
-    /// Takes a page of a listing. The configuration waits for the end: requests are served once it is in force, and all else
-    /// is known by then.
-    pub(crate) fn take_page(&mut self, page: Vec<StoreItem>, listing: &mut StoreListing) {
-        self.is_bulk = page.len() >= BULK_LEAST;
+    /// Applies a page of a listing. The configuration is applied at the end: requests are served once it is
+    /// in force, and all else is recorded by then.
+    pub(crate) fn apply_page(&mut self, page: Vec<StoreItem>, listing: &mut StoreListing) {
+        self.is_bulk = page.len() >= MIN_BULK_CHANGES;
         for item in page {
             if item.key == self.gateway.dialect.keys.configuration {
-                if let Some(row) = self.keys.get_mut(&item.key) {
-                    row.listing = self.listing;
+                if let Some(record) = self.keys.get_mut(&item.key) {
+                    record.listing = self.listing;
                 }
                 listing.configuration = Some(item);
             } else {
-                self.written(&item);
+                self.apply_written(&item);
             }
         }
         self.end_bulk("list");
     }
 
-    /// Takes all endpoints as another VM knows them: that counts as listed up to its position.
-    pub(crate) fn take_copy(&mut self, copy: EndpointSnapshot) {
+    /// Applies another VM's snapshot of all endpoints, which counts as listed up to its position.
+    pub(crate) fn apply_snapshot(&mut self, snapshot: EndpointSnapshot) {
         let prefix = self.gateway.dialect.keys.endpoints;
-        let position = copy.position;
-        self.is_bulk = copy.entries.len() >= BULK_LEAST;
-        for entry in copy.entries {
-            if self.note_key(&format!("{prefix}{}", entry.id), position) {
-                self.endpoint_known(entry, position);
+        let position = snapshot.position;
+        self.is_bulk = snapshot.entries.len() >= MIN_BULK_CHANGES;
+        for entry in snapshot.entries {
+            if self.record_key(&format!("{prefix}{}", entry.id), position) {
+                self.apply_endpoint_entry(entry, position);
             }
         }
-        for id in copy.unreadable {
-            if self.note_key(&format!("{prefix}{id}"), position) {
-                self.endpoint_unreadable(&id, &EntryError::Bytes("another VM could not read it".to_owned()));
+        for id in snapshot.unreadable {
+            if self.record_key(&format!("{prefix}{id}"), position) {
+                self.record_unreadable_endpoint(
+                    &id,
+                    &EntryError::Bytes("another VM could not read it".to_owned()),
+                );
             }
         }
         self.end_bulk("another VM");
     }
 
-    /// Notes that a key is listed and was written at `position`; whether that is news.
-    fn note_key(&mut self, key: &str, position: StorePosition) -> bool {
-        let row = KeyRow { position, listing: self.listing };
+    /// Records that a key is listed and was written at `position`; returns whether that is a change.
+    fn record_key(&mut self, key: &str, position: StorePosition) -> bool {
+        let record = KeyRecord { position, listing: self.listing };
         match self.keys.get_mut(key) {
-            Some(known) if known.position >= position => {
-                known.listing = self.listing;
+            Some(earlier) if earlier.position >= position => {
+                earlier.listing = self.listing;
                 false
             }
-            Some(known) => {
-                *known = row;
+            Some(earlier) => {
+                *earlier = record;
                 true
             }
             None => {
-                self.keys.insert(key.to_owned(), row);
+                self.keys.insert(key.to_owned(), record);
                 true
             }
         }
     }
 
-    /// Ends a whole listing at `position`: what it did not hold is gone.
-    pub(crate) fn end_listing(&mut self, listing: StoreListing, position: StorePosition) {
-        let gone = self.keys.iter().filter(|(_, row)| row.listing != self.listing);
-        let gone: Vec<_> = gone.map(|(key, _)| key.clone()).collect();
-        for key in gone {
-            self.removed(&key, position, "list");
+    /// Ends a whole listing at `position`: keys that it didn't contain are removed.
+    pub(crate) fn finish_listing(&mut self, listing: StoreListing, position: StorePosition) {
+        let missing = self.keys.iter().filter(|(_, record)| record.listing != self.listing);
+        let missing: Vec<_> = missing.map(|(key, _)| key.clone()).collect();
+        for key in missing {
+            self.apply_removed(&key, position, "list");
         }
         if let Some(item) = listing.configuration {
-            self.written(&item);
+            self.apply_written(&item);
         }
     }
 
-    /// Takes changes that `source` told.
+    /// Applies changes that `source` reported.
     pub(crate) fn apply_all(&mut self, events: &[StoreEvent], source: &str) {
-        self.is_bulk = events.len() >= BULK_LEAST;
+        self.is_bulk = events.len() >= MIN_BULK_CHANGES;
         for event in events {
             match event {
-                StoreEvent::Written(item) => self.written(item),
-                StoreEvent::Removed { key, position } => self.removed(key, *position, source),
+                StoreEvent::Written(item) => self.apply_written(item),
+                StoreEvent::Removed { key, position } => self.apply_removed(key, *position, source),
             }
         }
         self.end_bulk(source);
     }
 
-    fn written(&mut self, item: &StoreItem) {
-        if !self.note_key(&item.key, item.position) {
+    fn apply_written(&mut self, item: &StoreItem) {
+        if !self.record_key(&item.key, item.position) {
             return;
         }
         let keys = self.gateway.dialect.keys;
         if item.key == keys.configuration {
-            self.configuration_written(item);
+            self.apply_configuration(item);
         } else if let Some(id) = item.key.strip_prefix(keys.endpoints) {
-            self.endpoint_written(id, item);
+            self.apply_endpoint(id, item);
         } else if item.key.starts_with(keys.weights) {
-            self.weights_written(item);
+            self.apply_weights(item);
         } else if let Some(data_centre) = item.key.strip_prefix(keys.evacuations) {
-            self.evacuation_written(data_centre, item.position);
+            self.apply_evacuation(data_centre, item.position);
         } else if let Some(service) = item.key.strip_prefix(keys.rollouts) {
             self.gateway.order_rollout(service, item);
         } else if item.key.starts_with(RECORD_PREFIX) {
@@ -218,7 +224,7 @@
                 Err(error) => log::error!(key = item.key.as_str(), cause:% = error; "vm.unreadable"),
             }
         } else if let Some(digest) = item.key.strip_prefix(HOLD_PREFIX) {
-            self.hold_written(digest, item);
+            self.apply_quarantine(digest, item);
         } else if item.key == PEER_KEY_KEY {
             match item.value.as_slice().try_into() {
                 Ok(key) => self.gateway.set_peer_key(key),
@@ -226,15 +232,15 @@
             }
         } else if item.key == ORDERS_KEY {
             match serde_json::from_slice(&item.value) {
-                Ok(record) => {
-                    self.orders.send_replace(OrdersView { holder: Some((record, item.position)) });
+                Ok(holder) => {
+                    self.orders.send_replace(OrdersView { holder: Some((holder, item.position)) });
                 }
                 Err(error) => log::error!(key = item.key.as_str(), cause:% = error; "holder.unreadable"),
             }
         }
     }
 
-    fn configuration_written(&mut self, item: &StoreItem) {
+    fn apply_configuration(&mut self, item: &StoreItem) {
         match (self.gateway.dialect.decode.configuration)(&item.value) {
             Ok(config) => {
                 let version = config.version;
@@ -252,21 +258,21 @@
         }
     }
 
-    fn endpoint_written(&mut self, id: &str, item: &StoreItem) {
-        let entry = match self.read_endpoint(id, &item.value) {
+    fn apply_endpoint(&mut self, id: &str, item: &StoreItem) {
+        let entry = match self.decode_endpoint(id, &item.value) {
             Ok(entry) => entry,
-            Err(fault) => return self.endpoint_unreadable(id, &fault),
+            Err(fault) => return self.record_unreadable_endpoint(id, &fault),
         };
-        self.endpoint_known(entry, item.position);
+        self.apply_endpoint_entry(entry, item.position);
     }
 
-    /// Takes an entry that could be read.
-    fn endpoint_known(&mut self, entry: EndpointEntry, position: StorePosition) {
+    /// Applies a decoded entry.
+    fn apply_endpoint_entry(&mut self, entry: EndpointEntry, position: StorePosition) {
         let id = entry.id.clone();
         let id = id.as_str();
         self.gateway.note_version(&entry);
         let (service, draining) = (entry.service.clone(), entry.draining);
-        let (key, at) = (entry.key(), entry.address);
+        let (key, socket_address) = (entry.key(), entry.address);
         let (is_readable_again, is_changed) = {
             let mut table = self.gateway.table();
             (table.clear_unreadable(id), table.apply_entry(entry, self.gateway.now()))
@@ -276,19 +282,19 @@
         }
         if is_changed && self.is_bulk {
             self.bulk_count += 1;
-            self.gateway.note_started_at(at, key);
+            self.gateway.note_started_at(socket_address, key);
         } else if is_changed {
-            let (service, address) = (service.as_str(), at.to_string());
+            let (service, address) = (service.as_str(), socket_address.to_string());
             let address = address.as_str();
             log::info!(endpoint = id, service, address, draining, position:%; "endpoint.entry");
-            self.gateway.note_started_at(at, key);
+            self.gateway.note_started_at(socket_address, key);
         }
     }
 
-    /// Reads an entry that an endpoint wrote itself; one of another writer is no such entry.
-    fn read_endpoint(&self, id: &str, value: &[u8]) -> Result<EndpointEntry, EntryError> {
+    /// Decodes an entry that an endpoint wrote itself; one of another writer is refused.
+    fn decode_endpoint(&self, id: &str, value: &[u8]) -> Result<EndpointEntry, EntryError> {
         let entry = (self.gateway.dialect.decode.endpoint)(id, value)?;
-        let latest = time_of_day_millis().saturating_add(FUTURE_MILLIS);
+        let latest = wall_clock_millis().saturating_add(MAX_START_LEAD_MILLIS);
         let is_future = entry.born_millis.is_some_and(|born| born > latest);
         if is_future || self.gateway.table().lacks_start(&entry) {
             return Err(EntryError::Born);
@@ -296,8 +302,8 @@
         Ok(entry)
     }
 
-    /// An entry that names no endpoint to use; told once, not with each heartbeat.
-    fn endpoint_unreadable(&self, id: &str, fault: &EntryError) {
+    /// Records an entry that names no usable endpoint; logged once, not with each heartbeat.
+    fn record_unreadable_endpoint(&self, id: &str, fault: &EntryError) {
         let kind = KindLabel::new(fault.kind());
         self.gateway.metrics.unreadable_entries.get_or_create(&kind).inc();
         if self.gateway.table().set_unreadable(id) {
@@ -305,8 +311,8 @@
         }
     }
 
-    /// What the operator writes beside the data centre's name does not matter.
-    fn evacuation_written(&self, data_centre: &str, position: StorePosition) {
+    /// The entry's value does not matter, only the data centre's name in the key.
+    fn apply_evacuation(&self, data_centre: &str, position: StorePosition) {
         let now = self.gateway.now();
         let mut table = self.gateway.table();
         if table.evacuate(data_centre, Moment::NEVER, now) {
@@ -315,41 +321,43 @@
         }
     }
 
-    fn hold_written(&self, digest: &str, item: &StoreItem) {
+    fn apply_quarantine(&self, digest: &str, item: &StoreItem) {
         let request = digest.parse::<RequestKey>().map_err(|error| error.to_string());
-        let hold = serde_json::from_slice::<StoredHold>(&item.value).map_err(|error| error.to_string());
-        match request.and_then(|request| Ok((request, hold?))) {
-            Ok((request, hold)) => self.gateway.take_stored_hold(request, &hold),
+        let stored_hold =
+            serde_json::from_slice::<StoredHold>(&item.value).map_err(|error| error.to_string());
+        match request.and_then(|request| Ok((request, stored_hold?))) {
+            Ok((request, stored_hold)) => self.gateway.take_stored_hold(request, &stored_hold),
             Err(cause) => {
                 log::error!(key = item.key.as_str(), cause = cause.as_str(); "quarantine.unreadable");
             }
         }
     }
 
-    /// An entry that went while the store was well, of an endpoint that had not said that it leaves: it has ended.
-    fn endpoint_lapsed(&self, id: &str, now: Moment) {
-        let (key, ending) = {
+    /// Records a crash if an endpoint's entry is removed while the store works and the endpoint had announced
+    /// no departure.
+    fn record_expired_endpoint(&self, id: &str, now: Moment) {
+        let (key, crash) = {
             let table = self.gateway.table();
             let key = table.key_of(id);
-            let ending = table.row(key).filter(|row| !row.has_announced_end()).map(|row| {
+            let crash = table.row(key).filter(|row| !row.has_announced_end()).map(|row| {
                 let service = &row.entry.service;
                 EndpointCrash {
                     start: key,
                     place: short_digest(&row.entry.address.to_string()),
                     service: short_digest(service),
                     among: table.rows_of(service).count() as u32,
-                    at: Moment(now.0.saturating_sub(LAPSE_MICROS)),
+                    at: Moment(now.0.saturating_sub(ENTRY_EXPIRY_DELAY_MICROS)),
                 }
             });
-            (key, ending)
+            (key, crash)
         };
-        if let Some(ending) = ending {
-            self.gateway.note_lapsed(ending);
+        if let Some(crash) = crash {
+            self.gateway.note_lapsed(crash);
             self.gateway.record_ended(key, "its entry is gone");
         }
     }
 
-    fn weights_written(&self, item: &StoreItem) {
+    fn apply_weights(&self, item: &StoreItem) {
         match (self.gateway.dialect.decode.weights)(&item.value) {
             Ok(target) => {
                 if self.gateway.name_weights(&target) {
@@ -360,31 +368,32 @@
         }
     }
 
-    fn removed(&mut self, key: &str, position: StorePosition, source: &str) {
-        if self.keys.get(key).is_some_and(|known| known.position >= position) {
+    fn apply_removed(&mut self, key: &str, position: StorePosition, source: &str) {
+        if self.keys.get(key).is_some_and(|record| record.position >= position) {
             return;
         }
-        // What a copy lacks was not taken away: it is written again.
-        let is_lost = self.keys.remove(key).is_some_and(|known| known.position.era < position.era);
+        // What a backup lacks was not removed: it is written again.
+        let is_missing_after_restore =
+            self.keys.remove(key).is_some_and(|record| record.position.era < position.era);
         let now = self.gateway.now();
         if let Some(id) = key.strip_prefix(self.gateway.dialect.keys.endpoints) {
-            let held_until = self.gateway.hold_until();
-            self.gateway.table().mark_entry_missing(id, held_until);
+            let grace_deadline = self.gateway.hold_until();
+            self.gateway.table().mark_entry_missing(id, grace_deadline);
             self.gateway.table().clear_unreadable(id);
-            if held_until == Moment(0) {
-                self.endpoint_lapsed(id, now);
+            if grace_deadline == Moment(0) {
+                self.record_expired_endpoint(id, now);
             }
-            log::info!(endpoint = id, source, held_until:% = held_until; "endpoint.missing");
+            log::info!(endpoint = id, source, held_until:% = grace_deadline; "endpoint.missing");
         } else if let Some(data_centre) = key.strip_prefix(self.gateway.dialect.keys.evacuations) {
-            if is_lost {
-                let until = now.after_millis(RESTORED_MILLIS);
-                self.gateway.table().evacuate(data_centre, until, now);
+            if is_missing_after_restore {
+                let deadline = now.after_millis(EVACUATION_GRACE_MILLIS);
+                self.gateway.table().evacuate(data_centre, deadline, now);
             } else if self.gateway.table().cancel_evacuation(data_centre) {
                 log::warn!(data_centre, source; "evacuation.ended");
             }
         } else if let Some(service) = key.strip_prefix(self.gateway.dialect.keys.rollouts) {
-            // One that a copy lacks was not taken back: it ends with its time.
-            if !is_lost {
+            // A rollout that a backup lacks was not withdrawn: it expires.
+            if !is_missing_after_restore {
                 self.gateway.withdraw_rollout(service);
             }
         } else if let Some(service) = key.strip_prefix(RECORD_PREFIX) {
@@ -400,7 +409,7 @@
     }
 }
 
-/// The time of day in milliseconds.
-fn time_of_day_millis() -> u64 {
+/// Returns the wall clock's time in milliseconds.
+fn wall_clock_millis() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
