--- a/crates/entity/src/dense.rs
+++ b/crates/entity/src/dense.rs
@@ -1,21 +1,21 @@
 //! Dense maps from a small typed index to a row.
 //!
-//! Invariant: an index is only valid for the map kind that it is typed for, and rows never move.
-//! A vector beats a hash map here: rows are walked in order on every decision, and order is
-//! part of the determinism that replayed sessions rely on.
+//! Invariant: an index is valid only for the entity kind of its type, and rows never move. A vector
+//! is better than a hash map here: every decision iterates over the rows, and replayed sessions
+//! rely on their deterministic order.
 
 use std::marker::PhantomData;
 use std::ops::{Index, IndexMut};
 
 /// A small typed index: a newtype on `u32`.
 pub trait EntityIndex: Copy + Eq {
-    /// Makes the index for row `row`.
+    /// Returns the index of row `row`.
     fn from_row(row: usize) -> Self;
-    /// The row that this index names.
+    /// Returns the row number of this index.
     fn row(self) -> usize;
 }
 
-/// Rows of one entity kind, in order of their index.
+/// Rows of one entity kind, in index order.
 #[derive(Clone, Debug)]
 pub struct DenseMap<K, V> {
     rows: Vec<V>,
@@ -50,32 +50,32 @@
         K::from_row(self.rows.len() - 1)
     }
 
-    /// The number of rows.
+    /// Returns the number of rows.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether there is no row.
+    /// Whether there are no rows.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// The rows with their indices, in order.
+    /// Iterates over the rows with their indices, in order.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = (K, &V)> {
         self.rows.iter().enumerate().map(|(row, value)| (K::from_row(row), value))
     }
 
-    /// The rows with their indices, in order, for change.
+    /// Iterates over mutable rows with their indices, in order.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (K, &mut V)> {
         self.rows.iter_mut().enumerate().map(|(row, value)| (K::from_row(row), value))
     }
 
-    /// The row at `index`, if there is one.
+    /// Returns the row at `index`, if there is one.
     pub fn get(&self, index: K) -> Option<&V> {
         self.rows.get(index.row())
     }
 
-    /// Grows the map with default rows until `index` names one, and returns that row.
+    /// Returns the row at `index`, adding default rows up to it if it does not exist.
     pub fn at_or_default(&mut self, index: K) -> &mut V
     where
         V: Default,
--- a/crates/entity/src/lib.rs
+++ b/crates/entity/src/lib.rs
@@ -1,7 +1,7 @@
-//! Typed indices, dense maps, and the kernel's notion of time.
+//! Typed indices, dense maps, and points in time.
 //!
-//! - [`DenseMap`] holds rows of one entity kind, reached by a small typed index.
-//! - [`NameTable`] interns names to such indices and never reuses an index.
+//! - [`DenseMap`] stores rows of one entity kind by a small typed index.
+//! - [`NameTable`] interns names as such indices and never reuses an index.
 //! - [`Moment`] is a point of monotonic time in microseconds; deadlines are moments.
 
 mod dense;
--- a/crates/entity/src/moment.rs
+++ b/crates/entity/src/moment.rs
@@ -1,7 +1,7 @@
-//! Points in time, counted in microseconds from an origin that the caller chose.
+//! Points in time, counted in microseconds from an origin that the caller chooses.
 //!
-//! Invariant: nothing in this workspace stores how long something lasts; it stores the moment at
-//! which it ends. A restart of a timer then cannot stretch a promise.
+//! Invariant: state in this workspace stores deadlines, never durations, so that restarting a timer
+//! cannot extend a promised deadline.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -11,16 +11,16 @@
 /// Microseconds in a second.
 pub const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A point of monotonic time, in microseconds since the origin of its process or session.
+/// A point in monotonic time, in microseconds since the origin of its process or session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// The far end of time: a deadline that never comes.
+    /// A deadline that never passes.
     pub const NEVER: Self = Self(u64::MAX);
 
-    /// The moment `millis` milliseconds later, saturating.
+    /// Returns the moment `millis` milliseconds later, saturating.
     ///
     /// # Examples
     /// ```
@@ -31,7 +31,7 @@
         Self(self.0.saturating_add(millis.saturating_mul(MICROS_PER_MILLI)))
     }
 
-    /// The moment `micros` microseconds later, saturating.
+    /// Returns the moment `micros` microseconds later, saturating.
     ///
     /// # Examples
     /// ```
@@ -42,7 +42,7 @@
         Self(self.0.saturating_add(micros))
     }
 
-    /// Microseconds from `earlier` to here; zero if `earlier` is later.
+    /// Returns the microseconds from `earlier` to this moment; zero if `earlier` is later.
     ///
     /// # Examples
     /// ```
--- a/crates/entity/src/name.rs
+++ b/crates/entity/src/name.rs
@@ -1,13 +1,14 @@
 //! Interned names.
 //!
-//! Invariant: a name keeps its index for the life of the table, so an index held across a change
-//! of configuration still means the same thing. Names on the wire are text; rows are indices.
+//! Invariant: a name keeps its index for the lifetime of the table, so an index that is kept across
+//! a change of configuration still refers to the same entity. Messages between VMs contain names;
+//! rows are addressed by index.
 
 use crate::EntityIndex;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Names of one entity kind, each with a typed index that is never reused.
+/// Table of names of one entity kind, each with a typed index that is never reused.
 #[derive(Clone, Debug)]
 pub struct NameTable<K> {
     by_name: HashMap<Arc<str>, K>,
@@ -21,7 +22,7 @@
 }
 
 impl<K: EntityIndex> NameTable<K> {
-    /// The index of `name`, made if the name is new.
+    /// Returns the index of `name`, adding the name if it is new.
     ///
     /// # Examples
     /// ```
@@ -42,31 +43,31 @@
             return index;
         }
         let index = K::from_row(self.names.len());
-        let shared: Arc<str> = Arc::from(name);
-        self.names.push(Arc::clone(&shared));
-        self.by_name.insert(shared, index);
+        let shared_name: Arc<str> = Arc::from(name);
+        self.names.push(Arc::clone(&shared_name));
+        self.by_name.insert(shared_name, index);
         index
     }
 
-    /// The index of `name`, if it has one.
+    /// Returns the index of `name`, if it has one.
     pub fn find(&self, name: &str) -> Option<K> {
         self.by_name.get(name).copied()
     }
 
-    /// The name at `index`.
+    /// Returns the name at `index`.
     ///
     /// # Panics
-    /// If the index is of another table: that is a bug.
+    /// If the index is out of range, which means that it belongs to another table: a bug.
     pub fn name(&self, index: K) -> &str {
         &self.names[index.row()]
     }
 
-    /// The number of names.
+    /// Returns the number of names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether there is no name.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/crates/kernel/src/event.rs
+++ b/crates/kernel/src/event.rs
@@ -1,7 +1,7 @@
-//! What goes into the kernel and what comes out of it.
+//! The kernel's inputs (events) and outputs (effects).
 //!
-//! Invariant: events and effects are plain data with a text form. Names, not indices, cross this
-//! border, so that a session file can be read by a person and replayed by another build.
+//! Invariant: events and effects are plain data with a text form. They contain names, not indices,
+//! so that a session file can be read by a person and replayed by another build.
 
 use crate::{ClaimVerdict, Message};
 use serde::{Deserialize, Serialize};
@@ -9,10 +9,10 @@
 use spanfold_entity::Moment;
 use std::sync::Arc;
 
-/// Whether a request ran at an endpoint.
+/// Whether an endpoint ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RanState {
-    /// No byte of it left for an endpoint, or the endpoint refused it before running.
+    /// No byte of it was sent to an endpoint, or the endpoint refused it before running it.
     No,
     /// It ran.
     Yes,
@@ -21,7 +21,7 @@
 }
 
 impl RanState {
-    /// The word used in headers and bodies.
+    /// Returns the label used in headers and bodies.
     ///
     /// # Examples
     /// ```
@@ -39,30 +39,30 @@
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalKind {
-    /// Its deadline cannot be met.
+    /// The request's deadline cannot be met.
     Deadline,
-    /// The account is over its rate.
+    /// The account exceeds its request rate.
     Rate,
-    /// The account is over its concurrency.
+    /// The account exceeds its limit of concurrent requests.
     Concurrency,
     /// The account has no share of the pool.
     NoShare,
-    /// No endpoint of the pool takes work.
+    /// No endpoint of the pool accepts work.
     NoEndpoint,
-    /// The cell is busy and another may serve sooner; only between VMs.
+    /// The cell is busy and another one may serve sooner; used between VMs only.
     Busy,
     /// This VM is stopping.
     Stopping,
-    /// Claims cannot be written now.
+    /// Claims cannot be written at present.
     ClaimsUnavailable,
 }
 
-/// What went wrong at an endpoint.
+/// How an endpoint failed a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FailureKind {
     /// It refused the connection or the request before running it.
     Refused,
-    /// Its stream broke or stalled.
+    /// Its response stream broke or stalled.
     Broken,
 }
 
@@ -75,65 +75,65 @@
     pub account: String,
     /// The pool.
     pub pool: String,
-    /// Short keys of the prompt's whole pieces, first to last; empty for plain services.
+    /// Short keys of the prompt's complete blocks, first to last; empty for plain services.
     pub keys: Vec<u64>,
-    /// Tokens of the prompt, estimated.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens that may be generated.
+    /// Maximum number of generated tokens.
     pub max_tokens: u32,
     /// When the first token is due.
     pub deadline: Moment,
-    /// The caller's priority; higher goes first within the account.
+    /// The caller's priority; within the account, higher values are served first.
     pub priority: i8,
-    /// Endpoints that have failed this request already.
+    /// Endpoints that have already failed this request.
     pub exclude: Vec<String>,
 }
 
-/// How the endpoint came by the prompt's state, in tokens.
+/// Where the endpoint obtained the prompt's state, in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Found in the engine's memory.
+    /// Tokens found in the engine's memory.
     pub cached: u32,
-    /// Imported from a store.
+    /// Tokens imported from a store.
     pub imported: u32,
-    /// Computed.
+    /// Tokens computed.
     pub computed: u32,
-    /// Microseconds that the import took.
+    /// Duration of the import, in microseconds.
     pub import_micros: u64,
-    /// Microseconds that the computation took, waiting in the engine left out.
+    /// Duration of the computation, in microseconds, without the wait in the engine.
     pub compute_micros: u64,
 }
 
-/// How a request left an endpoint.
+/// Progress of a request at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The first token is out.
+    /// The first token was produced.
     FirstToken(Usage),
-    /// The answer is complete, with so many tokens generated.
+    /// The answer is complete, with this number of generated tokens.
     Complete(u32),
-    /// The endpoint failed it.
+    /// The endpoint failed the request.
     Failed(FailureKind),
-    /// The caller went away.
+    /// The caller closed the connection.
     Abandoned,
 }
 
-/// What a listed VM is for.
+/// The role of a listed VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmRole {
-    /// Runs this system.
+    /// Runs this system (entry VM).
     Entry,
-    /// Runs an endpoint.
+    /// Runs an endpoint (endpoint VM).
     Endpoint,
 }
 
-/// What the platform says of a VM.
+/// State of a VM as the platform reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// It is up.
+    /// The VM is up.
     Live,
-    /// It is going away.
+    /// The VM is departing.
     Leaving,
 }
 
@@ -142,17 +142,17 @@
 pub struct ListedVm {
     /// The VM's name.
     pub name: String,
-    /// What it is for.
+    /// The VM's role.
     pub role: VmRole,
     /// Peer address of an entry VM, `IP:PORT`; service address of an endpoint VM.
     pub address: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Whether it is leaving.
+    /// Whether it is live or departing.
     pub state: VmState,
 }
 
-/// A call that may run at most once, on its way to be claimed.
+/// A request for a claim on a call that may run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimTicket {
     /// Number of the request, unique at this VM.
@@ -161,76 +161,76 @@
     pub key: u128,
     /// Digest of method, path and body.
     pub body: u128,
-    /// Drawn once for this attempt; tells one's own write from another's.
+    /// Random number of this attempt, which distinguishes its write from others.
     pub nonce: u128,
-    /// After this moment the attempt may no longer be dispatched.
+    /// The attempt may not be dispatched after this moment.
     pub deadline: Moment,
 }
 
 /// One entry of a claim log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its place in the shard's log, from one.
+    /// Its sequence number in the shard's log, from one.
     pub sequence: u64,
-    /// Its text, as written.
+    /// The text as it was written.
     pub text: String,
 }
 
-/// How the platform answered the creation of a log entry.
+/// The platform's answer to the creation of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CreateReply {
-    /// It was created now.
+    /// This call created the entry.
     Created,
-    /// It stood already, with this text.
+    /// The entry existed already, with this text.
     Exists(String),
-    /// No answer came; it may have been created.
+    /// No answer was received; the entry may have been created.
     Unknown,
 }
 
-/// What an engine says of its weights.
+/// Weights that an engine reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedWeights {
-    /// The version that is loaded.
+    /// The loaded version.
     pub version: String,
-    /// Whether it loads another now.
+    /// Whether another version is being loaded.
     pub loading: bool,
 }
 
-/// Something that happened.
+/// An input of the kernel.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Event {
-    /// Time has passed.
+    /// A timer tick.
     Tick,
     /// A request needs an endpoint.
     Arrive(Arrival),
-    /// A request passed its account's limits; raised by the limits plug-in.
+    /// A request is within its account's limits; raised by the limits plug-in.
     Admitted(Arrival),
-    /// A granted request moved on.
+    /// A granted request made progress.
     Progress {
         /// Number of the request at this VM.
         request: u64,
-        /// How.
+        /// The progress.
         outcome: Outcome,
     },
     /// A call needs a claim before dispatch.
     Claim(ClaimTicket),
-    /// A claimed call ended.
+    /// A claimed call finished.
     Settle {
         /// Digest of account and idempotency key.
         key: u128,
         /// The claim's nonce.
         nonce: u128,
-        /// The answer to be given again; none if the call truly did not run.
+        /// The answer to replay; none if the call certainly did not run.
         answer: Option<String>,
     },
-    /// A peer's message came in.
+    /// A message from a peer was received.
     Receive {
         /// The peer's name.
         from: String,
-        /// What it said.
+        /// The message.
         message: Message,
     },
-    /// The VM list was read.
+    /// The VM list was read from the platform.
     Listed {
         /// All its rows.
         vms: Vec<ListedVm>,
@@ -244,16 +244,16 @@
     },
     /// Chunks were read from the platform.
     ChunksRead {
-        /// Their texts; each is named by its digest. None: the reading has ended.
+        /// Their texts; each chunk is named by its digest. Empty when all reads are done.
         texts: Vec<Arc<str>>,
     },
-    /// A generation has been parsed and checked.
+    /// A generation of the configuration was parsed and checked.
     Configured {
         /// Its generation.
         generation: u64,
-        /// Its whole text.
+        /// The whole text of the configuration.
         text: Arc<str>,
-        /// The same, parsed by the sender so that the control thread need not; none in replays.
+        /// The text parsed by the sender, to spare the control thread; none in replays.
         #[serde(skip)]
         catalogue: Option<Arc<Catalogue>>,
     },
@@ -261,24 +261,24 @@
     Probed {
         /// The endpoint.
         endpoint: String,
-        /// Whether it takes new work; none if it did not answer.
+        /// Whether it accepts new work; none if it did not answer.
         ready: Option<bool>,
-        /// Requests that it works on.
+        /// Number of requests that it is running.
         running: u32,
-        /// Requests that wait in it.
+        /// Number of requests in its queue.
         waiting: u32,
-        /// The weight version that an engine has loaded or loads, if it says so.
+        /// The weight version that an engine has loaded or is loading, if it reports one.
         #[serde(default)]
         weights: Option<LoadedWeights>,
     },
-    /// The lease record of the orders was read.
+    /// The record of the lease on orders was read.
     LeaseRead {
-        /// The revision of its last change; zero if it is not there.
+        /// The revision of its last change; zero if there is no record.
         revision: u64,
-        /// Its text; empty if it is not there.
+        /// Its text; empty if there is no record.
         text: String,
     },
-    /// A write of the lease record succeeded; a failed one is told by nothing.
+    /// A write of the lease record succeeded; a failed write raises no event.
     LeaseWritten {
         /// Its text.
         text: String,
@@ -287,29 +287,29 @@
     CacheRead {
         /// The engine.
         endpoint: String,
-        /// Whether events between the last reading and this one are lost.
+        /// Whether events between the previous read and this one were lost.
         gap: bool,
-        /// Short keys that it now holds.
+        /// Short keys of blocks that it now contains.
         stored: Vec<u64>,
-        /// Short keys that it no longer holds.
+        /// Short keys of blocks that it no longer contains.
         evicted: Vec<u64>,
     },
     /// A store's listing was read.
     StoreRead {
         /// The store.
         store: String,
-        /// The pool whose pieces were listed.
+        /// The pool whose blocks were listed.
         pool: String,
-        /// Whether this is the whole listing; else a change since the last.
+        /// Whether this is the full listing; otherwise it is a change since the last one.
         whole: bool,
-        /// Short keys that it holds.
+        /// Short keys of blocks that it contains.
         stored: Vec<u64>,
-        /// Short keys that it no longer holds.
+        /// Short keys of blocks that it no longer contains.
         freed: Vec<u64>,
-        /// Pieces that it still has room for.
+        /// Number of further blocks that it has space for.
         room: u32,
     },
-    /// An export ended.
+    /// An export finished.
     Exported {
         /// The store.
         store: String,
@@ -317,18 +317,18 @@
         endpoint: String,
         /// The pool.
         pool: String,
-        /// Short keys whose pieces are now whole in the store.
+        /// Short keys of the blocks that are now complete in the store.
         keys: Vec<u64>,
-        /// How long it took, in microseconds.
+        /// Duration of the export, in microseconds.
         micros: u64,
     },
     /// The platform answered the creation of a log entry.
     LogCreated {
         /// The shard.
         shard: u32,
-        /// The entry's place.
+        /// The entry's sequence number.
         sequence: u64,
-        /// The answer.
+        /// The platform's answer.
         reply: CreateReply,
     },
     /// A shard's log was read.
@@ -337,21 +337,21 @@
         shard: u32,
         /// Whether the read succeeded.
         known: bool,
-        /// Entries from the asked sequence on.
+        /// Entries from the requested sequence number on.
         entries: Vec<LogEntry>,
     },
     /// A planned stop begins.
     Stop,
-    /// Something for one plug-in alone.
+    /// An event for a single plug-in.
     Custom {
         /// The plug-in's name.
         plugin: String,
-        /// What it is, in that plug-in's own form.
+        /// Its content, in the format of that plug-in.
         text: String,
     },
 }
 
-/// Something to be done.
+/// An output of the kernel: an action for the daemon to carry out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Effect {
     /// Send a request to an endpoint.
@@ -360,25 +360,25 @@
         request: u64,
         /// The endpoint.
         endpoint: String,
-        /// Pieces to import first.
+        /// Blocks to import first.
         import: Option<crate::Import>,
-        /// Priority for the engine; higher goes first.
+        /// Priority for the engine; higher values are served first.
         priority: i8,
     },
-    /// Give a request its final answer: refused, not run.
+    /// Refuse a request that was not run; this is its final answer.
     Refuse {
         /// Number of the request at this VM.
         request: u64,
-        /// Why.
+        /// The reason.
         reason: RefusalKind,
-        /// When to come back, in milliseconds.
+        /// Delay before the caller may retry, in milliseconds.
         retry_after_millis: u64,
     },
     /// Send a message to a peer.
     Send {
         /// The peer's name.
         to: String,
-        /// What to say.
+        /// The message.
         message: Message,
     },
     /// Answer a claim.
@@ -388,16 +388,16 @@
         /// The verdict.
         verdict: ClaimVerdict,
     },
-    /// The end of a claimed call is on record.
+    /// The result of a claimed call is recorded.
     Settled {
         /// The claim's nonce.
         nonce: u128,
     },
-    /// Create a log entry if its place is free.
+    /// Create a log entry if its sequence number is unused.
     CreateLog {
         /// The shard.
         shard: u32,
-        /// The entry's place.
+        /// The entry's sequence number.
         sequence: u64,
         /// Its text.
         text: String,
@@ -406,12 +406,12 @@
     ReadLog {
         /// The shard.
         shard: u32,
-        /// The first sequence to read.
+        /// The first sequence number to read.
         from: u64,
     },
-    /// Hold the data centre's watch on the configuration, or let it go.
+    /// Keep the data centre's watch on the configuration open, or close it.
     WatchConfiguration {
-        /// Whether to hold it.
+        /// Whether to keep it open.
         hold: bool,
     },
     /// Read chunks from the platform.
@@ -419,7 +419,7 @@
         /// Their digests.
         digests: Vec<String>,
     },
-    /// Write a newer head back to a platform that has lost it.
+    /// Write a newer head record back to a platform that has lost it.
     RestoreHead {
         /// The generation.
         generation: u64,
@@ -428,14 +428,14 @@
         /// The chunks.
         texts: Vec<Arc<str>>,
     },
-    /// Parse and check a generation, then report it as configured.
+    /// Parse and check a generation, then return it as [`Event::Configured`].
     Configure {
         /// The generation.
         generation: u64,
         /// Its chunks, by bucket.
         texts: Vec<Arc<str>>,
     },
-    /// Probe an endpoint: readiness, load, and an engine's cache events.
+    /// Probe an endpoint for its readiness, its load and, of an engine, its cache events.
     Probe {
         /// The endpoint.
         endpoint: String,
@@ -446,10 +446,10 @@
         store: String,
         /// The pool.
         pool: String,
-        /// Whether the whole listing is wanted.
+        /// Whether the full listing is requested.
         whole: bool,
     },
-    /// Have an engine export pieces to a store.
+    /// Have an engine export blocks to a store.
     Export {
         /// The engine.
         endpoint: String,
@@ -457,23 +457,23 @@
         store: String,
         /// The pool.
         pool: String,
-        /// Short keys of the pieces.
+        /// Short keys of the blocks.
         keys: Vec<u64>,
     },
-    /// Delete pieces from a store.
+    /// Delete blocks from a store.
     Free {
         /// The store.
         store: String,
         /// The pool.
         pool: String,
-        /// Short keys of the pieces.
+        /// Short keys of the blocks.
         keys: Vec<u64>,
     },
-    /// Read the lease record of the orders.
+    /// Read the record of the lease on orders.
     ReadLease,
-    /// Write the lease record if its last change is still at `revision`.
+    /// Write the lease record if the revision of its last change is still `revision`.
     WriteLease {
-        /// The revision; zero if it must not be there.
+        /// The expected revision; zero if the record must not exist.
         revision: u64,
         /// Its text.
         text: String,
@@ -482,7 +482,7 @@
     Order {
         /// The engine.
         endpoint: String,
-        /// What it should be, whatever it is now: the order may come twice.
+        /// The version to load, regardless of the current one, since an order may arrive twice.
         target: String,
         /// The lease's fencing number.
         fencing: u64,
@@ -496,11 +496,11 @@
         /// Its fields.
         text: String,
     },
-    /// Something of one plug-in alone.
+    /// An effect of a single plug-in.
     Custom {
         /// The plug-in's name.
         plugin: String,
-        /// What it is.
+        /// Its content.
         text: String,
     },
 }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,14 +1,14 @@
-//! The deterministic kernel: an event and the time go in, a list of effects comes out.
+//! The deterministic kernel: turns an event and the time into a list of effects.
 //!
-//! Nothing here reads a clock, opens a socket, starts a thread or draws an unseeded number, so a
-//! recorded session replays to the same effects. Decisions live in plug-ins that register
-//! themselves with [`register_plugin!`]; adding one touches no file of this crate.
+//! Nothing here reads a clock, opens a socket, starts a thread or draws an unseeded random number,
+//! so a recorded session replays to the same effects. Decisions are made by plug-ins that register
+//! themselves with [`register_plugin!`]; adding one changes no file of this crate.
 //!
-//! - [`Kernel`] runs the plug-ins; [`Event`] and [`Effect`] are its two sides.
-//! - [`World`] is what all plug-ins see: VMs, configuration, names.
-//! - [`Message`] is what kernels of different VMs say to each other.
-//! - [`rendezvous`] derives every role from who is alive.
-//! - [`SessionLine`] is the text form of sessions, recorded and replayed.
+//! - [`Kernel`] runs the plug-ins; [`Event`] is its input, [`Effect`] its output.
+//! - [`World`] is the state that all plug-ins share: VMs, configuration, names.
+//! - [`Message`] is a message between kernels of different VMs.
+//! - [`rendezvous`] assigns every role to one of the live VMs.
+//! - [`SessionLine`] is one line of the text form in which sessions are recorded and replayed.
 
 mod event;
 mod kernel;
--- a/crates/kernel/src/message.rs
+++ b/crates/kernel/src/message.rs
@@ -1,13 +1,13 @@
-//! What kernels of different VMs say to each other.
+//! Messages between kernels of different VMs.
 //!
-//! Invariant: a message is a hint or a request, never a promise: a lost, late or repeated one may
-//! cost efficiency only. What must hold rests on the platform's compare-and-swap.
+//! Invariant: a message is a hint or a request, never a guarantee: a lost, late or repeated one may
+//! cost efficiency only. Guarantees rely on the platform's compare-and-swap.
 
 use crate::{ClaimTicket, Outcome, RefusalKind};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A heartbeat.
+/// A heartbeat of an entry VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Beat {
     /// Differs at each start of the sender.
@@ -16,57 +16,57 @@
     pub leaving: bool,
     /// The sender's configuration generation.
     pub generation: u64,
-    /// Endpoints of the sender's cells that it has found to take no work.
+    /// Endpoints of the sender's cells that it has found to accept no work.
     pub unwell: Vec<String>,
-    /// Who holds the lease on orders, as far as the sender has read; empty if it has not.
+    /// Holder of the lease on orders, as last read by the sender; empty before the first read.
     #[serde(default)]
     pub orders_holder: String,
 }
 
-/// An entry VM asks a cell's home for an endpoint.
+/// A request of an entry VM to a cell's home VM for an endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Number of the request at the asking VM.
+    /// Number of the request at the requesting VM.
     pub request: u64,
     /// The cell.
     pub cell: String,
     /// The client account.
     pub account: String,
-    /// Short keys of the prompt's whole pieces.
+    /// Short keys of the prompt's complete blocks.
     pub keys: Vec<u64>,
-    /// Tokens of the prompt, estimated.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens that may be generated.
+    /// Maximum number of generated tokens.
     pub max_tokens: u32,
-    /// Microseconds until the first token is due, counted from the sending; clocks differ.
+    /// Microseconds from sending until the first token is due; relative, as clocks differ.
     pub micros_left: u64,
     /// The caller's priority.
     pub priority: i8,
-    /// Endpoints that have failed this request already.
+    /// Endpoints that have already failed this request.
     pub exclude: Vec<String>,
-    /// Whether the asker has another cell to ask, should this one be busy.
+    /// Whether the requesting VM can use another cell if this one is busy.
     pub may_move: bool,
 }
 
-/// Pieces to import from a store before computing.
+/// Range of blocks to import from a store before computing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Import {
     /// The store.
     pub store: String,
-    /// Number of the first piece.
+    /// Number of the first block.
     pub first: u32,
-    /// Number of the first piece that is not imported.
+    /// Number of the first block after the range.
     pub end: u32,
 }
 
-/// A cell's home grants an endpoint.
+/// An endpoint that a cell's home VM grants for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Number of the request at the asking VM.
+    /// Number of the request at the requesting VM.
     pub request: u64,
     /// The endpoint.
     pub endpoint: String,
-    /// Pieces to import first.
+    /// Blocks to import first.
     pub import: Option<Import>,
     /// Priority for the engine.
     pub priority: i8,
@@ -77,37 +77,37 @@
 pub struct InFlightRow {
     /// Number of the request at the sending VM.
     pub request: u64,
-    /// The endpoint that works on it.
+    /// The endpoint that runs it.
     pub endpoint: String,
     /// The client account.
     pub account: String,
-    /// Tokens of the prompt, estimated.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Whether the first token is out.
+    /// Whether the first token was produced.
     pub started: bool,
 }
 
-/// What the home of a claim shard answers.
+/// The answer of a claim shard's home VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimVerdict {
-    /// The claim is written: the call may be dispatched by its deadline.
+    /// The claim is written: the call may be dispatched until its deadline.
     Claimed,
-    /// The call has run; this is its recorded answer.
+    /// The call has run, with this recorded answer.
     Finished(String),
     /// Another attempt holds the claim: it may be running or may have run.
     Pending,
-    /// The same key was used with another body.
+    /// The same key was used with a different body.
     Mismatch,
     /// The platform cannot be reached; the call was not dispatched.
     Unavailable,
 }
 
-/// A claim on its way to its shard's home.
+/// A request for a claim, sent to the shard's home VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimAsk {
     /// The shard.
     pub shard: u32,
-    /// The ticket; its deadline is in the sender's time.
+    /// The ticket; its deadline is in the sender's clock.
     pub ticket: ClaimTicket,
 }
 
@@ -118,48 +118,48 @@
     Beat(Beat),
     /// A request for an endpoint.
     Ask(Ask),
-    /// An endpoint.
+    /// An endpoint granted for a request.
     Grant(Grant),
-    /// The home holds the request in its queue.
+    /// The home VM has queued the request.
     Queued {
-        /// Number of the request at the asking VM.
+        /// Number of the request at the requesting VM.
         request: u64,
     },
-    /// No endpoint.
+    /// A request for an endpoint was refused.
     Refusal {
-        /// Number of the request at the asking VM.
+        /// Number of the request at the requesting VM.
         request: u64,
-        /// Why.
+        /// The reason.
         reason: RefusalKind,
-        /// When to come back, in milliseconds.
+        /// Delay before the caller may retry, in milliseconds.
         retry_after_millis: u64,
     },
-    /// A granted request moved on.
+    /// A granted request made progress.
     Progress {
         /// The cell.
         cell: String,
         /// Number of the request at the sending VM.
         request: u64,
-        /// How.
+        /// The progress.
         outcome: Outcome,
     },
-    /// All requests that the sender has in flight in a cell, told to its home.
+    /// All requests that the sender has in flight in a cell, sent to the cell's home VM.
     InFlight {
         /// The cell.
         cell: String,
         /// The requests.
         requests: Vec<InFlightRow>,
     },
-    /// A claim.
+    /// A request for a claim.
     Claim(ClaimAsk),
-    /// The answer to a claim.
+    /// The answer to a request for a claim.
     ClaimReply {
-        /// Number of the request at the asking VM.
+        /// Number of the request at the requesting VM.
         request: u64,
         /// The verdict.
         verdict: ClaimVerdict,
     },
-    /// A claimed call ended.
+    /// A claimed call finished.
     Settle {
         /// The shard.
         shard: u32,
@@ -167,19 +167,19 @@
         key: u128,
         /// The claim's nonce.
         nonce: u128,
-        /// The answer to be given again; none if the call did not run.
+        /// The answer to replay; none if the call did not run.
         answer: Option<String>,
     },
-    /// The end of a claimed call is on record.
+    /// The result of a claimed call is recorded.
     Settled {
         /// The claim's nonce.
         nonce: u128,
     },
-    /// An engine's weights, told to the holder of the lease on orders.
+    /// An engine's weights, reported to the holder of the lease on orders.
     Weights {
         /// The engine.
         endpoint: String,
-        /// What it says.
+        /// The weights that it reports.
         weights: crate::LoadedWeights,
     },
     /// A request for the receiver's head record.
@@ -196,16 +196,16 @@
         /// Their digests.
         digests: Vec<String>,
     },
-    /// Chunks.
+    /// Chunks of the configuration.
     Chunks {
         /// Their texts.
         texts: Vec<Arc<str>>,
     },
-    /// Something between two plug-ins of one name.
+    /// A message between plug-ins of the same name on two VMs.
     Custom {
         /// The plug-in's name.
         plugin: String,
-        /// What it is.
+        /// Its content.
         text: String,
     },
 }
--- a/crates/kernel/src/plugin.rs
+++ b/crates/kernel/src/plugin.rs
@@ -1,7 +1,7 @@
-//! Plug-ins: plain structs with their functions in a table, which register themselves.
+//! Plug-ins: plain structs that register themselves with a table of their functions.
 //!
-//! Invariant: a plug-in sees events in the order of its rank and changes others only by raising
-//! events. The registry is collected by the linker, so that no list names the plug-ins.
+//! Invariant: plug-ins handle each event in their dispatch order and affect each other only by
+//! raising events. The linker collects the registry, so that no list of plug-ins is maintained.
 
 use crate::{Effect, Event, Message, World};
 use spanfold_entity::Moment;
@@ -9,17 +9,17 @@
 use std::collections::VecDeque;
 use std::fmt;
 
-/// A plug-in's own state.
+/// A plug-in's private state.
 pub type PluginState = Box<dyn Any + Send>;
 
 /// One registered plug-in.
 #[derive(Clone, Copy)]
 pub struct PluginEntry {
-    /// Its name.
+    /// The plug-in's name.
     pub name: &'static str,
-    /// Its place in the order; lower sees events first.
-    pub rank: u32,
-    /// Makes its state.
+    /// Position in the dispatch order; lower values handle events first.
+    pub dispatch_order: u32,
+    /// Creates the initial state.
     pub start: fn(&World) -> PluginState,
     /// Handles one event.
     pub handle: fn(&mut dyn Any, &mut Context<'_>, &Event),
@@ -30,7 +30,7 @@
         formatter
             .debug_struct("PluginEntry")
             .field("name", &self.name)
-            .field("rank", &self.rank)
+            .field("dispatch_order", &self.dispatch_order)
             .finish_non_exhaustive()
     }
 }
@@ -55,11 +55,11 @@
 /// ```
 #[macro_export]
 macro_rules! register_plugin {
-    ($name:literal, $rank:literal, $state:ty) => {
+    ($name:literal, $dispatch_order:literal, $state:ty) => {
         $crate::inventory::submit! {
             $crate::PluginEntry {
                 name: $name,
-                rank: $rank,
+                dispatch_order: $dispatch_order,
                 start: |world| Box::new(<$state>::start(world)),
                 handle: |state, context, event| {
                     if let Some(state) = state.downcast_mut::<$state>() {
@@ -71,7 +71,7 @@
     };
 }
 
-/// What a plug-in has at hand while it handles an event.
+/// Access to the kernel for a plug-in that handles an event.
 #[derive(Debug)]
 pub struct Context<'a> {
     /// The time of the event.
@@ -79,7 +79,7 @@
     /// Shared state.
     pub world: &'a mut World,
     pub(crate) effects: &'a mut Vec<Effect>,
-    pub(crate) raised: &'a mut VecDeque<Event>,
+    pub(crate) raised_events: &'a mut VecDeque<Event>,
 }
 
 impl Context<'_> {
@@ -88,12 +88,12 @@
         self.effects.push(effect);
     }
 
-    /// Has all plug-ins handle `event` after the present one, in the same step.
+    /// Has all plug-ins handle `event` after the current one, in the same step.
     pub fn raise(&mut self, event: Event) {
-        self.raised.push_back(event);
+        self.raised_events.push_back(event);
     }
 
-    /// Sends `message` to `to`; a message to this VM is raised as received in the same step.
+    /// Sends `message` to `to`; one to this VM is raised as received in the same step.
     pub fn send(&mut self, to: &str, message: Message) {
         if to == self.world.me {
             self.raise(Event::Receive { from: to.to_owned(), message });
--- a/crates/kernel/src/session.rs
+++ b/crates/kernel/src/session.rs
@@ -1,7 +1,7 @@
-//! The text form of sessions: events with times in, effects out.
+//! The text form of sessions: timed input events and output effects.
 //!
 //! A line is `@MICROS EVENT` or `-> EFFECT`, with the event or effect as JSON; lines that start
-//! with `#` are remarks. Invariant: a recorded session replays to the same effects.
+//! with `#` are comments. Invariant: a recorded session replays to the same effects.
 
 use crate::{Effect, Event, Kernel, World};
 use serde::{Deserialize, Serialize};
@@ -11,17 +11,17 @@
 /// One line of a session.
 #[derive(Clone, Debug)]
 pub enum SessionLine {
-    /// What the kernel was made with.
+    /// The parameters with which the kernel was created.
     Start(StartLine),
-    /// An event and its time.
+    /// An input event and its time.
     Input(Moment, Event),
-    /// An effect of the event above it.
+    /// An effect of the preceding event.
     Output(Effect),
-    /// A remark.
-    Remark(String),
+    /// A comment or an empty line.
+    Comment(String),
 }
 
-/// The first line of a recorded session: what the kernel was made with.
+/// The first line of a recorded session: the kernel's parameters.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct StartLine {
     me: String,
@@ -32,7 +32,7 @@
     flush_millis: u64,
 }
 
-/// Why a session text was not understood.
+/// Why a session text cannot be parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum SessionError {
     /// A line is malformed.
@@ -40,13 +40,13 @@
     Malformed {
         /// The line, counted from one.
         line: usize,
-        /// What is wrong with it.
+        /// The parser's error.
         cause: String,
     },
 }
 
 impl SessionLine {
-    /// The line that tells what a kernel with this `world` was made with.
+    /// Returns the start line of a session whose kernel is created with `world`.
     pub fn start(world: &World) -> Self {
         Self::Start(StartLine {
             me: world.me.clone(),
@@ -61,7 +61,7 @@
     /// Parses one line.
     ///
     /// # Errors
-    /// A sentence that says what is wrong.
+    /// A message that describes the malformed part.
     ///
     /// # Examples
     /// ```
@@ -70,20 +70,20 @@
     /// assert_eq!(line.to_string(), "@50 \"Tick\"");
     /// ```
     pub fn parse(text: &str) -> Result<Self, String> {
-        let read = |error: serde_json::Error| error.to_string();
-        if let Some(rest) = text.strip_prefix("-> ") {
-            return Ok(Self::Output(serde_json::from_str(rest).map_err(read)?));
+        let json_error = |error: serde_json::Error| error.to_string();
+        if let Some(effect) = text.strip_prefix("-> ") {
+            return Ok(Self::Output(serde_json::from_str(effect).map_err(json_error)?));
         }
-        if let Some(rest) = text.strip_prefix("start ") {
-            return Ok(Self::Start(serde_json::from_str(rest).map_err(read)?));
+        if let Some(start) = text.strip_prefix("start ") {
+            return Ok(Self::Start(serde_json::from_str(start).map_err(json_error)?));
         }
-        if let Some(rest) = text.strip_prefix('@') {
-            let (time, event) = rest.split_once(' ').ok_or("expected `@MICROS EVENT`")?;
-            let time = time.parse().map_err(|_error| format!("`{time}` is not a time"))?;
-            return Ok(Self::Input(Moment(time), serde_json::from_str(event).map_err(read)?));
+        if let Some(input) = text.strip_prefix('@') {
+            let (time, event) = input.split_once(' ').ok_or("expected `@MICROS EVENT`")?;
+            let time = time.parse().map_err(|_error| format!("`{time}` is not a time in microseconds"))?;
+            return Ok(Self::Input(Moment(time), serde_json::from_str(event).map_err(json_error)?));
         }
         if text.starts_with('#') || text.trim().is_empty() {
-            return Ok(Self::Remark(text.to_owned()));
+            return Ok(Self::Comment(text.to_owned()));
         }
         Err("expected `start`, `@`, `->` or `#`".to_owned())
     }
@@ -98,15 +98,15 @@
             Self::Start(start) => write!(formatter, "start {}", json(start)?),
             Self::Input(time, event) => write!(formatter, "@{time} {}", json(event)?),
             Self::Output(effect) => write!(formatter, "-> {}", json(effect)?),
-            Self::Remark(text) => formatter.write_str(text),
+            Self::Comment(text) => formatter.write_str(text),
         }
     }
 }
 
-/// Runs the inputs of a session text and returns the text with the outputs that come now.
+/// Replays the inputs of a session text and returns it with the new outputs.
 ///
 /// # Errors
-/// The first malformed line.
+/// If a line is malformed; reports the first one.
 ///
 /// # Examples
 /// ```
@@ -118,14 +118,14 @@
 pub fn replay(text: &str) -> Result<String, SessionError> {
     let mut kernel = Kernel::new(World::default());
     let mut output = String::new();
-    // Old outputs are not read: a change of their form must not keep a session from replaying.
+    // Recorded outputs are skipped, so that a session replays even if their format has changed.
     let lines = text.lines().enumerate().filter(|(_, line)| !line.starts_with("-> "));
-    for (row, line) in lines {
-        let parsed =
-            SessionLine::parse(line).map_err(|cause| SessionError::Malformed { line: row + 1, cause })?;
+    for (line_index, line) in lines {
+        let parsed = SessionLine::parse(line)
+            .map_err(|cause| SessionError::Malformed { line: line_index + 1, cause })?;
         match parsed {
             SessionLine::Output(_) => {}
-            SessionLine::Remark(remark) => push_line(&mut output, &remark),
+            SessionLine::Comment(comment) => push_line(&mut output, &comment),
             SessionLine::Start(ref start) => {
                 kernel = Kernel::new(World {
                     me: start.me.clone(),
--- a/crates/kernel/src/world.rs
+++ b/crates/kernel/src/world.rs
@@ -1,4 +1,4 @@
-//! What all plug-ins see: VMs, configuration and names.
+//! State that all plug-ins share: VMs, configuration and names.
 //!
 //! Invariant: the membership plug-in alone changes VM rows, the configuration plug-in alone
 //! changes the catalogue, and the health plug-in alone changes endpoint rows.
@@ -39,48 +39,48 @@
     AccountIndex
 );
 
-/// What is known of an entry VM.
+/// State of an entry VM as seen by this VM.
 #[derive(Clone, Debug, Default)]
 pub struct VmRow {
     /// Its data centre.
     pub data_centre: String,
     /// Its peer address.
     pub address: String,
-    /// Whether the VM list has it as live.
+    /// Whether the VM list shows it as live.
     pub listed: bool,
-    /// Whether it says, or the VM list says, that it is going away.
+    /// Whether the VM itself or the VM list reports that it is departing.
     pub leaving: bool,
-    /// Until when its last heartbeat counts.
+    /// The VM is considered alive until this moment, as of its last heartbeat.
     pub alive_until: Moment,
-    /// Its configuration generation, as it last said.
+    /// Its configuration generation, as last reported by it.
     pub generation: u64,
-    /// Its incarnation, as it last said.
+    /// Its incarnation, as last reported by it.
     pub incarnation: u64,
-    /// Endpoints that it last said take no work.
+    /// Endpoints that, by its last report, accept no work.
     pub unwell: Vec<String>,
 }
 
-/// What is known of an endpoint.
+/// State of an endpoint as seen by this VM.
 #[derive(Clone, Debug)]
-#[expect(clippy::struct_excessive_bools, reason = "each is one independent sign, and any one counts")]
+#[expect(clippy::struct_excessive_bools, reason = "each is an independent condition, and any one counts")]
 pub struct EndpointRow {
     /// Its data centre.
     pub data_centre: String,
-    /// Whether the VM list says that it is going away.
+    /// Whether the VM list reports that it is departing.
     pub list_leaving: bool,
-    /// Whether it says so itself.
+    /// Whether the endpoint itself reports that it is departing.
     pub self_leaving: bool,
-    /// Whether the operator takes it out of service.
+    /// Whether the operator is taking it out of service.
     pub draining: bool,
-    /// Until when it gets no work after failures.
+    /// After failures, it gets no work before this moment.
     pub ejected_until: Moment,
-    /// Failures since it last worked.
+    /// Number of failures since its last success.
     pub failures: u32,
-    /// Requests that it said it works on.
+    /// Number of requests that it reports as running.
     pub running: u32,
-    /// Requests that it said wait in it.
+    /// Number of requests that it reports as queued.
     pub waiting: u32,
-    /// Whether it stands in the configuration.
+    /// Whether the configuration declares it.
     pub declared: bool,
     /// Whether this VM has probed it itself.
     pub probed: bool,
@@ -114,8 +114,8 @@
     }
 }
 
-/// What a VM last said of endpoints counts this long after its heartbeats stop, in milliseconds.
-const LAST_WORDS_MILLIS: u64 = 10_000;
+/// A VM's last report of endpoints stays valid for this time after its heartbeats stop.
+const REPORT_RETENTION_MILLIS: u64 = 10_000;
 
 /// Shared state of one kernel.
 #[derive(Debug, Default)]
@@ -124,13 +124,13 @@
     pub me: String,
     /// This VM's data centre.
     pub data_centre: String,
-    /// Differs at each start of this VM.
+    /// Number that differs at each start of this VM.
     pub incarnation: u64,
     /// The routing variant.
     pub variant: String,
     /// Number of claim shards.
     pub shards: u32,
-    /// Time over which claims are gathered, in milliseconds.
+    /// Time over which claims are batched into one write, in milliseconds.
     pub flush_millis: u64,
     /// Whether this VM is stopping.
     pub stopping: bool,
@@ -146,17 +146,17 @@
     pub account_names: NameTable<AccountIndex>,
     /// The configuration in force.
     pub catalogue: Arc<Catalogue>,
-    /// Its generation; zero before the first.
+    /// The configuration's generation; zero before the first one.
     pub generation: u64,
-    /// Who holds the lease on orders, as far as is known here; empty if it is not.
+    /// Holder of the lease on orders, as far as this VM has read or received it; empty if unknown.
     pub orders_holder: String,
-    /// Grows whenever the set of live entry VMs changes.
+    /// Version that increases whenever the set of live entry VMs changes.
     pub membership: u64,
 }
 
 impl World {
-    /// Enters this VM's own row, if it has a name.
-    pub(crate) fn enter_self(&mut self) {
+    /// Adds the row of this VM, if it has a name.
+    pub(crate) fn insert_own_vm(&mut self) {
         if self.me.is_empty() {
             return;
         }
@@ -164,7 +164,7 @@
         self.vms.at_or_default(me).data_centre.clone_from(&self.data_centre);
     }
 
-    /// Names of the entry VMs of `data_centre` that may hold roles at `now`, in index order.
+    /// Returns the entry VMs of `data_centre` that may hold roles at `now`, by index.
     pub fn live_vms(&self, data_centre: &str, now: Moment) -> Vec<&str> {
         self.vms
             .iter()
@@ -175,38 +175,40 @@
 
     /// Whether the VM at `index` may hold roles at `now`.
     ///
-    /// Heartbeats reach only VMs of the own data centre; of another one, the VM list must do.
+    /// Heartbeats are sent only within a data centre; for VMs of another one, the VM list decides.
     pub fn is_live(&self, index: VmIndex, now: Moment) -> bool {
         let row = &self.vms[index];
         if self.vm_names.name(index) == self.me {
             return !self.stopping;
         }
-        let seen = if row.data_centre == self.data_centre { now < row.alive_until } else { row.listed };
-        seen && !row.leaving
+        let is_alive = if row.data_centre == self.data_centre { now < row.alive_until } else { row.listed };
+        is_alive && !row.leaving
     }
 
-    /// Whether the endpoint at `index` may get new work, as far as this VM can know.
+    /// Whether the endpoint at `index` may get new work, by this VM's information.
     ///
-    /// For an endpoint that this VM has not probed, the last reports of VMs that have decide; they
-    /// count for a while after a VM's death, until its successor has probed.
+    /// For an endpoint that this VM has not probed, the last reports of VMs that have probed it
+    /// decide; they stay valid for a while after a VM fails, until its successor has probed.
     pub fn may_get_work(&self, index: EndpointIndex, now: Moment) -> bool {
         let row = &self.endpoints[index];
-        row.takes_work(now) && (row.probed || !self.said_unwell(self.endpoint_names.name(index), now))
+        row.takes_work(now)
+            && (row.probed || !self.is_reported_unavailable(self.endpoint_names.name(index), now))
     }
 
-    fn said_unwell(&self, endpoint: &str, now: Moment) -> bool {
-        let heard = self.vms.iter().filter(|(_, row)| now < row.alive_until.after_millis(LAST_WORDS_MILLIS));
-        heard.flat_map(|(_, row)| &row.unwell).any(|name| name == endpoint)
+    fn is_reported_unavailable(&self, endpoint: &str, now: Moment) -> bool {
+        let reporters =
+            self.vms.iter().filter(|(_, row)| now < row.alive_until.after_millis(REPORT_RETENTION_MILLIS));
+        reporters.flat_map(|(_, row)| &row.unwell).any(|name| name == endpoint)
     }
 
-    /// The entry VM of `data_centre` that holds `role`.
+    /// Returns the entry VM of `data_centre` that holds `role`.
     pub fn holder<'a>(&'a self, role: &str, data_centre: &str, now: Moment) -> Option<&'a str> {
         rendezvous(role, self.live_vms(data_centre, now).into_iter())
     }
 
-    /// The entry VM that holds `role` among those of all data centres.
+    /// Returns the entry VM that holds `role` among those of all data centres.
     pub fn holder_anywhere<'a>(&'a self, role: &str, now: Moment) -> Option<&'a str> {
-        let live = self.vms.iter().filter(|(index, _)| self.is_live(*index, now));
-        rendezvous(role, live.map(|(index, _)| self.vm_names.name(index)))
+        let live_vms = self.vms.iter().filter(|(index, _)| self.is_live(*index, now));
+        rendezvous(role, live_vms.map(|(index, _)| self.vm_names.name(index)))
     }
 }
--- a/crates/kernel/tests/plugin.rs
+++ b/crates/kernel/tests/plugin.rs
@@ -1,40 +1,40 @@
-//! Adding a plug-in touches no file of the kernel: this file adds one.
+//! Checks that a plug-in can be added without a change to the kernel's files: this file adds one.
 
 use spanfold_entity::Moment;
 use spanfold_kernel::{Context, Effect, Event, Kernel, World, register_plugin};
 
 #[derive(Debug)]
-struct EchoDesk {
-    heard: u64,
+struct EchoTracker {
+    received_count: u64,
 }
 
-impl EchoDesk {
+impl EchoTracker {
     fn start(_world: &World) -> Self {
-        Self { heard: 0 }
+        Self { received_count: 0 }
     }
 
     fn handle(&mut self, context: &mut Context<'_>, event: &Event) {
         if let Event::Custom { plugin, text } = event
             && plugin == "echo"
         {
-            self.heard += 1;
-            let text = format!("{} {text} {}", context.world.me, self.heard);
+            self.received_count += 1;
+            let text = format!("{} {text} {}", context.world.me, self.received_count);
             context.emit(Effect::Custom { plugin: plugin.clone(), text });
         }
     }
 }
 
-register_plugin!("echo", 500, EchoDesk);
+register_plugin!("echo", 500, EchoTracker);
 
 #[test]
-fn a_plugin_registers_itself_and_takes_part() {
+fn a_plugin_registers_itself_and_handles_events() {
     let mut kernel = Kernel::new(World { me: "vm-1".into(), ..World::default() });
     assert_eq!(kernel.plugin_names(), ["echo"]);
     let event = Event::Custom { plugin: "echo".into(), text: "hi".into() };
     let effects = kernel.step(Moment(1), event.clone());
     assert_eq!(effects, [Effect::Custom { plugin: "echo".into(), text: "vm-1 hi 1".into() }]);
     kernel.step(Moment(2), event);
-    assert_eq!(kernel.plugin::<EchoDesk>("echo").map(|desk| desk.heard), Some(2));
+    assert_eq!(kernel.plugin::<EchoTracker>("echo").map(|tracker| tracker.received_count), Some(2));
 }
 
 #[test]
--- a/crates/kernel/tests/session.rs
+++ b/crates/kernel/tests/session.rs
@@ -1,8 +1,8 @@
-//! A replayed session starts from the same state as the kernel that was recorded.
+//! Checks that a replayed session starts from the state of the recorded kernel.
 use spanfold_kernel::{Kernel, World};
 
 #[test]
-fn a_new_kernel_holds_its_own_vm_row() {
+fn a_new_kernel_contains_its_own_vm_row() {
     let world = World { me: "vm-1".into(), data_centre: "dc-a".into(), ..World::default() };
     let kernel = Kernel::new(world);
     let rows: Vec<_> = kernel
