--- a/crates/declare/src/bundle.rs
+++ b/crates/declare/src/bundle.rs
@@ -1,28 +1,28 @@
-//! Declarations cut into content-addressed chunks.
+//! Declarations split into content-addressed chunks.
 //!
-//! Invariant: a section's bucket depends on its header alone, so that a change of one section
-//! changes one chunk. Cutting the text by size instead would shift every later chunk on an
+//! Invariant: a section's bucket depends only on its header, so that a change of one section
+//! changes one chunk. Splitting the text by size instead would shift every later chunk on an
 //! insertion, and one change among 24,000 accounts would send the whole document again.
 
 use crate::{Document, Findings};
 use std::collections::BTreeMap;
 
-/// The number of buckets; at 24,000 accounts a chunk stays below a tenth of a megabyte.
+/// Number of buckets; at 24,000 accounts a chunk stays below a tenth of a megabyte.
 pub const BUCKET_COUNT: usize = 64;
 
-/// A document as chunks: digests in the order of their buckets, and texts by digest.
+/// A document as chunks: digests in bucket order, and texts by digest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Bundle {
-    /// The digest of each bucket's text; all have [`BUCKET_COUNT`] rows.
+    /// The digest of each bucket's text; a split document has [`BUCKET_COUNT`] digests.
     pub digests: Vec<String>,
     /// The texts, by digest.
     pub chunks: BTreeMap<String, String>,
 }
 
-/// Why a bundle gives no document.
+/// Why a bundle cannot be joined into a document.
 #[derive(Debug, thiserror::Error)]
 pub enum BundleError {
-    /// A chunk is named but not there.
+    /// A listed chunk is missing.
     #[error("chunk {0} is missing")]
     Missing(String),
     /// The chunks' text does not parse.
@@ -31,7 +31,7 @@
 }
 
 impl Bundle {
-    /// Cuts `document`.
+    /// Splits `document` into chunks.
     ///
     /// # Examples
     /// ```
@@ -56,7 +56,7 @@
         bundle
     }
 
-    /// Puts the document together again.
+    /// Joins the chunks into the document.
     ///
     /// # Errors
     /// If a chunk is missing or does not parse.
@@ -70,7 +70,7 @@
     }
 }
 
-/// The digest that names a chunk of this text.
+/// Returns the digest that names a chunk with this text.
 ///
 /// # Examples
 /// ```
--- a/crates/declare/src/declaration.rs
+++ b/crates/declare/src/declaration.rs
@@ -1,36 +1,36 @@
-//! What operators declare: client accounts, pools, endpoints, shares and objectives.
+//! Declarations of operators: client accounts, pools, endpoints, shares and objectives.
 //!
 //! Invariant: a [`Declarations`] value has passed the verifier: names resolve, shares of a pool do
-//! not exceed the whole, and every selector is parsed. [`Catalogue`] is the same with the
-//! selectors applied, so that no request evaluates one.
+//! not exceed 100 percent, and every selector is parsed. [`Catalogue`] adds the results of the
+//! selectors, so that no request evaluates one.
 
 use crate::{Document, Findings, Labels, Selector, verify};
 use std::collections::{BTreeMap, HashMap};
 
-/// What stands behind an endpoint's address.
+/// The kind of back end at an endpoint's address.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointKind {
-    /// A model engine, spoken to by the completions interface.
+    /// A model engine, called through the completions interface.
     #[default]
     Engine,
-    /// A plain service, to which calls are passed as they are.
+    /// A plain service, to which calls are forwarded unchanged.
     Service,
-    /// A store of kept cache.
+    /// A cache store.
     Store,
 }
 
-/// A group that sends requests, with its limits.
+/// A group of callers, with its limits.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClientAccount {
     /// The account's name.
     pub name: String,
-    /// Digests of its bearer keys, as [`key_digest`] gives them; keys themselves are not stored.
+    /// Digests of its bearer keys, as returned by [`key_digest`]; the keys are not stored.
     pub key_digests: Vec<String>,
-    /// Labels for selectors.
+    /// Labels that selectors match.
     pub labels: Labels,
-    /// Requests a second over the fleet; zero is no limit.
+    /// Limit of requests per second over the fleet; zero: no limit.
     pub rate: f64,
-    /// Requests in flight at one entry VM; zero is no limit.
+    /// Limit of requests in flight at one entry VM; zero: no limit.
     pub concurrency: u32,
 }
 
@@ -39,13 +39,13 @@
 pub struct Pool {
     /// The pool's name.
     pub name: String,
-    /// What its endpoints are.
+    /// The kind of its endpoints.
     pub kind: EndpointKind,
-    /// Labels for the shares' selectors.
+    /// Labels that the shares' selectors match.
     pub labels: Labels,
-    /// Which endpoints belong to it.
+    /// Selects its endpoints.
     pub selector: Selector,
-    /// The model that callers name; engines only.
+    /// The model name in callers' requests; engines only.
     pub model: String,
     /// The model's weight version; engines only.
     pub version: String,
@@ -53,28 +53,28 @@
     pub not_repeatable: Vec<String>,
 }
 
-/// A back end with an address.
+/// A back end at an address.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Endpoint {
     /// The endpoint's name.
     pub name: String,
-    /// What it is.
+    /// Its kind.
     pub kind: EndpointKind,
     /// Its address, `IP:PORT`.
     pub address: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Labels for the pools' selectors.
+    /// Labels that the pools' selectors match.
     pub labels: Labels,
-    /// Requests it works on at once (engine, service), or transfers (store).
+    /// Number of concurrent requests (engine, service) or transfers (store).
     pub slots: u32,
     /// Whether it refuses orders with an old fencing number.
     pub fenced: bool,
-    /// Whether the operator takes it out of service.
+    /// Whether the operator is taking it out of service.
     pub draining: bool,
 }
 
-/// A data centre; those of one region are near enough to share prompts.
+/// A data centre; those of the same region are close enough to share prompts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DataCentre {
     /// The data centre's name.
@@ -83,20 +83,20 @@
     pub region: String,
 }
 
-/// A promise: selected accounts get a share of selected pools.
+/// A guarantee that selected accounts get a share of selected pools.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Share {
     /// The share's name.
     pub name: String,
-    /// Which client accounts.
+    /// Selects the client accounts.
     pub accounts: Selector,
-    /// Which pools.
+    /// Selects the pools.
     pub resources: Selector,
     /// Percent of each pool, divided equally among the accounts.
     pub percent: f64,
 }
 
-/// What an objective measures.
+/// The quantity that an objective measures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ObjectiveKind {
     /// Time from arrival to the first token.
@@ -104,7 +104,7 @@
     FirstToken,
     /// Time from arrival to the end of the answer.
     Answer,
-    /// Whether the request was answered at all.
+    /// Whether the request was answered.
     Availability,
 }
 
@@ -113,17 +113,17 @@
 pub struct Objective {
     /// The objective's name.
     pub name: String,
-    /// Which client accounts.
+    /// Selects the client accounts.
     pub accounts: Selector,
-    /// What is measured.
+    /// The measured quantity.
     pub kind: ObjectiveKind,
     /// The bound in milliseconds; unused for availability.
     pub threshold_millis: u64,
-    /// The part of requests that must be within the bound, such as 0.95.
+    /// Fraction of requests that must be within the bound, such as 0.95.
     pub target: f64,
 }
 
-/// All that operators declare, checked.
+/// All declarations of operators, verified.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Declarations {
     /// Client accounts by name.
@@ -132,7 +132,7 @@
     pub pools: BTreeMap<String, Pool>,
     /// Endpoints by name.
     pub endpoints: BTreeMap<String, Endpoint>,
-    /// Data centres by name; one that is not declared is a region of its own.
+    /// Data centres by name; an undeclared one is a region of its own.
     pub data_centres: BTreeMap<String, DataCentre>,
     /// Shares by name.
     pub shares: BTreeMap<String, Share>,
@@ -141,7 +141,7 @@
 }
 
 impl Declarations {
-    /// The region of the data centre called `name`.
+    /// Returns the region of the data centre called `name`.
     ///
     /// # Examples
     /// ```
@@ -151,7 +151,7 @@
         self.data_centres.get(name).map_or(name, |centre| centre.region.as_str())
     }
 
-    /// Checks a whole document.
+    /// Verifies a whole document.
     ///
     /// # Errors
     /// All findings, each with file, line and key.
@@ -170,7 +170,7 @@
     }
 }
 
-/// Declarations with their selectors applied: what the request path looks up.
+/// Declarations with lookup tables, computed from their selectors, for the request path.
 #[derive(Clone, Debug, Default)]
 pub struct Catalogue {
     /// The declarations themselves.
@@ -181,7 +181,7 @@
     pub pool_by_model: HashMap<String, String>,
     /// Endpoint names by pool, sorted.
     pub members: BTreeMap<String, Vec<String>>,
-    /// Weight of each account that may use a pool, as a part of one; by pool and account.
+    /// Share of each account that may use a pool, as a fraction of one; by pool and account.
     pub weights: BTreeMap<String, HashMap<String, f64>>,
 }
 
@@ -217,30 +217,30 @@
                 .map(|endpoint| endpoint.name.clone())
                 .collect();
             catalogue.members.insert(pool.name.clone(), members);
-            catalogue.weights.insert(pool.name.clone(), pool_weights(&declarations, pool));
+            catalogue.weights.insert(pool.name.clone(), account_shares(&declarations, pool));
         }
         catalogue.declarations = declarations;
         catalogue
     }
 }
 
-fn pool_weights(declarations: &Declarations, pool: &Pool) -> HashMap<String, f64> {
-    let mut weights = HashMap::new();
+fn account_shares(declarations: &Declarations, pool: &Pool) -> HashMap<String, f64> {
+    let mut account_shares = HashMap::new();
     for share in declarations.shares.values().filter(|share| share.resources.matches(&pool.labels)) {
-        let selected: Vec<_> = declarations
+        let selected_accounts: Vec<_> = declarations
             .accounts
             .values()
             .filter(|account| share.accounts.matches(&account.labels))
             .collect();
-        for account in &selected {
-            *weights.entry(account.name.clone()).or_insert(0.0) +=
-                share.percent / 100.0 / selected.len() as f64;
+        for account in &selected_accounts {
+            *account_shares.entry(account.name.clone()).or_insert(0.0) +=
+                share.percent / 100.0 / selected_accounts.len() as f64;
         }
     }
-    weights
+    account_shares
 }
 
-/// The digest under which a bearer key is declared: BLAKE3, in hexadecimal.
+/// Returns the digest by which a bearer key is declared: BLAKE3, in hexadecimal.
 ///
 /// # Examples
 /// ```
--- a/crates/declare/src/document.rs
+++ b/crates/declare/src/document.rs
@@ -1,7 +1,7 @@
-//! The text form: INI sections of the shape `[kind name]` with `key = value` lines.
+//! The text form: INI sections with headers `[kind name]` and `key = value` lines.
 //!
 //! Invariant: printing a document and parsing it again gives the same sections and properties.
-//! The event parser keeps line numbers; a map-based reader would lose them and the duplicates.
+//! The event-based parser preserves line numbers and duplicates; a map-based reader would lose both.
 
 use crate::Findings;
 use ini_core::{Item, Parser};
@@ -22,30 +22,30 @@
 /// One `[kind name]` section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section {
-    /// The header's first word.
+    /// The header's first token.
     pub kind: String,
-    /// The rest of the header; empty for a section that stands once.
+    /// The remainder of the header; empty for a section that occurs only once.
     pub name: String,
     /// The header's line, counted from one.
     pub line: u32,
-    /// The file that it came from.
+    /// The file that contains it.
     pub file: String,
-    /// The lines below the header.
+    /// The properties below the header.
     pub properties: Vec<Property>,
 }
 
 impl Section {
-    /// The header as it is written, without brackets.
+    /// Returns the header without brackets.
     pub fn header(&self) -> String {
         if self.name.is_empty() { self.kind.clone() } else { format!("{} {}", self.kind, self.name) }
     }
 
-    /// The value of `key`, if it is set.
+    /// Returns the value of `key`, if it is set.
     pub fn value(&self, key: &str) -> Option<&str> {
         self.properties.iter().find(|property| property.key == key).map(|property| property.value.as_str())
     }
 
-    /// Sets `key`, keeping its place if it stands already.
+    /// Sets `key`, in its present position if it is already set.
     pub fn set(&mut self, key: &str, value: &str) {
         let line = self.line;
         match self.properties.iter_mut().find(|property| property.key == key) {
@@ -56,10 +56,14 @@
         }
     }
 
-    /// Whether kind, name, keys and values are the same, wherever they stand.
-    fn same_content(&self, other: &Self) -> bool {
+    /// Whether kind, name, keys and values are equal, regardless of order and lines.
+    fn has_same_content(&self, other: &Self) -> bool {
         fn pairs(section: &Section) -> BTreeMap<&str, &str> {
-            section.properties.iter().map(|p| (p.key.as_str(), p.value.as_str())).collect()
+            section
+                .properties
+                .iter()
+                .map(|property| (property.key.as_str(), property.value.as_str()))
+                .collect()
         }
         self.header() == other.header() && pairs(self) == pairs(other)
     }
@@ -78,12 +82,12 @@
 /// A whole INI text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Document {
-    /// The sections, in the order in which they stand.
+    /// The sections, in order of occurrence.
     pub sections: Vec<Section>,
 }
 
 impl Document {
-    /// Parses `text`; `file` names it in findings.
+    /// Parses `text`; findings refer to it as `file`.
     ///
     /// # Errors
     /// All malformed lines, keys outside a section, repeated sections and repeated keys.
@@ -110,7 +114,7 @@
                         Property { key: key.to_owned(), value: value.unwrap_or_default().to_owned(), line };
                     match (document.sections.last_mut(), value) {
                         (_, None) => findings.add(file, line, key, "expected `key = value`"),
-                        (None, _) => findings.add(file, line, key, "stands outside a section"),
+                        (None, _) => findings.add(file, line, key, "is outside any section"),
                         (Some(section), _) => section.properties.push(property),
                     }
                 }
@@ -118,22 +122,23 @@
                 Item::Comment(_) | Item::Blank | Item::SectionEnd => {}
             }
         }
-        find_repeats(&document, &mut findings);
+        report_duplicates(&document, &mut findings);
         findings.into_result(document)
     }
 
-    /// Puts documents of several files together.
+    /// Joins the documents of several files.
     ///
     /// # Errors
-    /// Sections that stand in two of them.
+    /// Sections that occur in two of them.
     pub fn join(documents: Vec<Self>) -> Result<Self, Findings> {
-        let document = Self { sections: documents.into_iter().flat_map(|d| d.sections).collect() };
+        let document =
+            Self { sections: documents.into_iter().flat_map(|document| document.sections).collect() };
         let mut findings = Findings::default();
-        find_repeats(&document, &mut findings);
+        report_duplicates(&document, &mut findings);
         findings.into_result(document)
     }
 
-    /// The section of this kind and name, for change.
+    /// Returns the section of this kind and name, mutable.
     pub fn section_mut(&mut self, kind: &str, name: &str) -> Option<&mut Section> {
         self.sections.iter_mut().find(|section| section.kind == kind && section.name == name)
     }
@@ -141,8 +146,8 @@
 
 impl fmt::Display for Document {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (row, section) in self.sections.iter().enumerate() {
-            if row > 0 {
+        for (index, section) in self.sections.iter().enumerate() {
+            if index > 0 {
                 writeln!(formatter)?;
             }
             write!(formatter, "{section}")?;
@@ -162,7 +167,7 @@
     }
 }
 
-fn find_repeats(document: &Document, findings: &mut Findings) {
+fn report_duplicates(document: &Document, findings: &mut Findings) {
     let mut headers: BTreeMap<String, (&str, u32)> = BTreeMap::new();
     for section in &document.sections {
         if let Some((file, line)) = headers.insert(section.header(), (&section.file, section.line)) {
@@ -177,13 +182,13 @@
         for property in &section.properties {
             if let Some(line) = keys.insert(&property.key, property.line) {
                 let key = format!("{}/{}", section.header(), property.key);
-                findings.add(&section.file, property.line, key, format!("is set already on line {line}"));
+                findings.add(&section.file, property.line, key, format!("is already set on line {line}"));
             }
         }
     }
 }
 
-/// The sections that differ between two documents: a sign (`+`, `-`, `~`) and the header.
+/// Returns the sections that differ between two documents: a marker (`+`, `-`, `~`) and the header.
 ///
 /// # Examples
 /// ```
@@ -194,16 +199,23 @@
 /// assert_eq!(changes, [('~', "pool p".to_owned()), ('+', "pool q".to_owned())]);
 /// ```
 pub fn changed_sections(old: &Document, new: &Document) -> Vec<(char, String)> {
-    let old_by: BTreeMap<_, _> = old.sections.iter().map(|s| (s.header(), s)).collect();
-    let new_by: BTreeMap<_, _> = new.sections.iter().map(|s| (s.header(), s)).collect();
+    let old_sections: BTreeMap<_, _> =
+        old.sections.iter().map(|section| (section.header(), section)).collect();
+    let new_sections: BTreeMap<_, _> =
+        new.sections.iter().map(|section| (section.header(), section)).collect();
     let mut changes = Vec::new();
-    for (header, section) in &old_by {
-        match new_by.get(header) {
+    for (header, section) in &old_sections {
+        match new_sections.get(header) {
             None => changes.push(('-', header.clone())),
-            Some(other) if !section.same_content(other) => changes.push(('~', header.clone())),
+            Some(other) if !section.has_same_content(other) => changes.push(('~', header.clone())),
             Some(_) => {}
         }
     }
-    changes.extend(new_by.keys().filter(|header| !old_by.contains_key(*header)).map(|h| ('+', h.clone())));
+    changes.extend(
+        new_sections
+            .keys()
+            .filter(|header| !old_sections.contains_key(*header))
+            .map(|header| ('+', header.clone())),
+    );
     changes
 }
--- a/crates/declare/src/finding.rs
+++ b/crates/declare/src/finding.rs
@@ -1,19 +1,19 @@
-//! Faults in an input text, collected with their place and reported together.
+//! Faults in an input text, collected with their locations and reported together.
 //!
-//! Invariant: a verifier never stops at the first fault; it returns a value only if it found none.
+//! Invariant: a verifier never stops at the first fault; it returns a value only if there is none.
 
 use std::fmt;
 
-/// One fault: where it stands and what is wrong.
+/// A fault in an input text, with its location.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// The file that the text came from.
+    /// The file that contains the text.
     pub file: String,
     /// The line, counted from one.
     pub line: u32,
     /// The section and key, such as `pool assistants/model`.
     pub key: String,
-    /// What is wrong, and what would be right.
+    /// Description of the fault and of what is expected.
     pub message: String,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// All faults of an input, in the order of their places.
+/// All faults of an input, ordered by location.
 #[derive(Clone, Debug, Default, PartialEq, Eq, thiserror::Error)]
 pub struct Findings(pub Vec<Finding>);
 
@@ -33,7 +33,7 @@
         self.0.push(Finding { file: file.to_owned(), line, key: key.into(), message: message.into() });
     }
 
-    /// Returns `value` if there is no fault, else the faults, sorted by place.
+    /// Returns `value` if there is no fault; otherwise the faults, sorted by location.
     pub(crate) fn into_result<T>(mut self, value: T) -> Result<T, Self> {
         if self.0.is_empty() {
             return Ok(value);
@@ -45,8 +45,8 @@
 
 impl fmt::Display for Findings {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (row, finding) in self.0.iter().enumerate() {
-            if row > 0 {
+        for (index, finding) in self.0.iter().enumerate() {
+            if index > 0 {
                 writeln!(formatter)?;
             }
             write!(formatter, "{finding}")?;
--- a/crates/declare/src/gateway_settings.rs
+++ b/crates/declare/src/gateway_settings.rs
@@ -1,14 +1,14 @@
-//! The gateway's settings: one checked table with defaults, read once at the start.
+//! The gateway's settings: one verified table with defaults, read once at start-up.
 //!
-//! Invariant: every row of [`gateway_settings_table`] is read here and nothing else is.
+//! Invariant: exactly the rows of [`gateway_settings_table`] are read here.
 
 use crate::reader::SectionReader;
-use crate::settings::{SettingsRow, address, enter_missing_sections, read_sections, rows, word};
+use crate::settings::{SettingsRow, add_missing_sections, address, one_of, read_sections, rows};
 use crate::{Document, Findings};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The reference of the gateway's settings.
+/// Returns the reference table of the gateway's settings.
 ///
 /// # Examples
 /// ```
@@ -41,7 +41,7 @@
     }
 }
 
-/// What one gateway reads at its start.
+/// Settings that a gateway reads at start-up.
 #[derive(Clone, Debug, PartialEq)]
 #[expect(missing_docs, reason = "each field is a row of gateway_settings_table, which documents it")]
 pub struct GatewaySettings {
@@ -70,18 +70,18 @@
 
 impl Default for GatewaySettings {
     fn default() -> Self {
-        let unset = SocketAddr::from(([127, 0, 0, 1], 0));
+        let unset_address = SocketAddr::from(([127, 0, 0, 1], 0));
         Self {
             name: String::new(),
             data_centre: String::new(),
             regions: BTreeMap::new(),
             link_mbps: 1_000.0,
             memory_mb: 256.0,
-            callers: unset,
-            readiness: unset,
-            metrics: unset,
-            peers: unset,
-            store: unset,
+            callers: unset_address,
+            readiness: unset_address,
+            metrics: unset_address,
+            peers: unset_address,
+            store: unset_address,
             grace_s: 8,
             lease_ms: 3_000,
             version_ms: 10_000,
@@ -98,7 +98,7 @@
 }
 
 impl GatewaySettings {
-    /// Checks a settings file. A key without a value counts as not set.
+    /// Parses and verifies a settings file; a key without a value counts as not set.
     ///
     /// # Errors
     /// All findings, each with file, line and key.
@@ -111,7 +111,7 @@
     /// ```
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
         let mut document = Document::parse(file, text)?;
-        enter_missing_sections(&mut document, file, gateway_settings_table());
+        add_missing_sections(&mut document, file, gateway_settings_table());
         for section in &mut document.sections {
             section.properties.retain(|property| {
                 !property.value.is_empty()
@@ -131,17 +131,17 @@
             "vm" => {
                 reader.required("name").clone_into(&mut self.name);
                 reader.required("data_centre").clone_into(&mut self.data_centre);
-                self.regions = reader.with("regions", read_regions);
+                self.regions = reader.parsed("regions", parse_regions);
                 self.link_mbps = reader.number("link_mbps", self.link_mbps);
                 self.memory_mb = reader.number("memory_mb", self.memory_mb);
             }
             "listen" => {
-                self.callers = needed_address(reader, "callers");
-                self.readiness = needed_address(reader, "readiness");
-                self.metrics = needed_address(reader, "metrics");
-                self.peers = needed_address(reader, "peers");
+                self.callers = required_address(reader, "callers");
+                self.readiness = required_address(reader, "readiness");
+                self.metrics = required_address(reader, "metrics");
+                self.peers = required_address(reader, "peers");
             }
-            "store" => self.store = needed_address(reader, "address"),
+            "store" => self.store = required_address(reader, "address"),
             "bounds" => {
                 self.grace_s = reader.number("grace_s", self.grace_s);
                 self.lease_ms = reader.number("lease_ms", self.lease_ms);
@@ -155,7 +155,7 @@
                 self.exposure_slack = reader.number("exposure_slack", self.exposure_slack);
             }
             "log" => {
-                self.log_level = word(reader, "level", &crate::settings::LEVELS, "info");
+                self.log_level = one_of(reader, "level", &crate::settings::LOG_LEVELS, "info");
             }
             _ => return false,
         }
@@ -163,8 +163,8 @@
     }
 }
 
-/// Reads the region of each data centre.
-fn read_regions(text: &str) -> Result<BTreeMap<String, String>, String> {
+/// Parses the region of each data centre.
+fn parse_regions(text: &str) -> Result<BTreeMap<String, String>, String> {
     let rows = text.split(',').map(str::trim).filter(|row| !row.is_empty());
     rows.map(|row| {
         let pair = row.split_once(':').filter(|(name, region)| !name.is_empty() && !region.is_empty());
@@ -174,7 +174,7 @@
     .collect()
 }
 
-fn needed_address(reader: &mut SectionReader<'_>, key: &'static str) -> SocketAddr {
+fn required_address(reader: &mut SectionReader<'_>, key: &'static str) -> SocketAddr {
     if reader.required(key).is_empty() {
         return SocketAddr::from(([127, 0, 0, 1], 0));
     }
--- a/crates/declare/src/lib.rs
+++ b/crates/declare/src/lib.rs
@@ -1,11 +1,11 @@
-//! Settings and declarations: INI text in, checked tables or a list of findings out.
+//! Settings and declarations: parses INI text into verified tables or a list of findings.
 //!
 //! - [`Document`] is the text form: sections and properties, each with its line.
-//! - [`Declarations`] are what operators keep in version control.
-//! - [`Settings`] are what one process reads at its start; [`GatewaySettings`] what a gateway reads.
-//! - [`Finding`] is one fault with file, line and key; a verifier collects them all first.
-//! - [`Labels`] and [`Selector`] are the customary `key=value, key in (a,b), !key` form.
-//! - [`Bundle`] cuts declarations into content-addressed chunks for the platform.
+//! - [`Declarations`] are the operators' declarations, which they keep in version control.
+//! - [`Settings`] are read by a daemon at start-up, [`GatewaySettings`] by a gateway.
+//! - [`Finding`] is one fault with file, line and key; a verifier collects all of them first.
+//! - [`Labels`] and [`Selector`] use the usual syntax `key=value, key in (a,b), !key`.
+//! - [`Bundle`] splits declarations into content-addressed chunks for the platform.
 
 mod bundle;
 mod declaration;
--- a/crates/declare/src/reader.rs
+++ b/crates/declare/src/reader.rs
@@ -1,4 +1,4 @@
-//! Typed reading of one section's keys, with every fault collected.
+//! Typed access to the keys of one section, which collects every fault.
 //!
 //! Invariant: each key is either read or reported as unknown by [`SectionReader::finish`].
 
@@ -6,29 +6,33 @@
 use std::collections::BTreeSet;
 use std::str::FromStr;
 
-/// Reads the keys of one section and notes faults.
+/// Reads the keys of one section and records faults.
 #[derive(Debug)]
 pub(crate) struct SectionReader<'a> {
     section: &'a Section,
     findings: &'a mut Findings,
-    known: BTreeSet<&'static str>,
+    known_keys: BTreeSet<&'static str>,
 }
 
 impl<'a> SectionReader<'a> {
     pub(crate) fn new(section: &'a Section, findings: &'a mut Findings) -> Self {
-        Self { section, findings, known: BTreeSet::new() }
+        Self { section, findings, known_keys: BTreeSet::new() }
     }
 
     /// Reports `message` at the line of `key`, or at the section if the key is not set.
     pub(crate) fn report(&mut self, key: &str, message: impl Into<String>) {
-        let line =
-            self.section.properties.iter().find(|p| p.key == key).map_or(self.section.line, |p| p.line);
-        let place = format!("{}/{key}", self.section.header());
-        self.findings.add(&self.section.file, line, place, message);
+        let line = self
+            .section
+            .properties
+            .iter()
+            .find(|property| property.key == key)
+            .map_or(self.section.line, |property| property.line);
+        let key_path = format!("{}/{key}", self.section.header());
+        self.findings.add(&self.section.file, line, key_path, message);
     }
 
     pub(crate) fn optional(&mut self, key: &'static str) -> Option<&'a str> {
-        self.known.insert(key);
+        self.known_keys.insert(key);
         self.section.value(key)
     }
 
@@ -40,8 +44,8 @@
         value
     }
 
-    /// Reads `key` with `parse`; on a fault, reports it and gives the default.
-    pub(crate) fn with<T: Default>(
+    /// Reads `key` with `parse`; reports a fault and returns the default then.
+    pub(crate) fn parsed<T: Default>(
         &mut self,
         key: &'static str,
         parse: impl FnOnce(&str) -> Result<T, String>,
@@ -53,7 +57,7 @@
         })
     }
 
-    /// Reads a whole number or other plain value, `default` if it is not set.
+    /// Reads a number, or returns `default` if it is not set.
     pub(crate) fn number<T: FromStr>(&mut self, key: &'static str, default: T) -> T {
         let Some(text) = self.optional(key) else { return default };
         text.parse().unwrap_or_else(|_| {
@@ -75,14 +79,14 @@
         }
     }
 
-    /// Reports the keys that nobody asked for.
+    /// Reports the keys that were set but not read.
     pub(crate) fn finish(self) {
         for property in &self.section.properties {
-            if !self.known.contains(property.key.as_str()) {
-                let known: Vec<_> = self.known.iter().copied().collect();
-                let place = format!("{}/{}", self.section.header(), property.key);
-                let message = format!("unknown key; known here: {}", known.join(", "));
-                self.findings.add(&self.section.file, property.line, place, message);
+            if !self.known_keys.contains(property.key.as_str()) {
+                let known_keys: Vec<_> = self.known_keys.iter().copied().collect();
+                let key_path = format!("{}/{}", self.section.header(), property.key);
+                let message = format!("unknown key; known here: {}", known_keys.join(", "));
+                self.findings.add(&self.section.file, property.line, key_path, message);
             }
         }
     }
--- a/crates/declare/src/settings.rs
+++ b/crates/declare/src/settings.rs
@@ -1,23 +1,23 @@
-//! The daemon's settings: one table with defaults, read once at the start.
+//! The daemon's settings: one table with defaults, read once at start-up.
 //!
-//! Invariant: every row of [`settings_table`] is read here and nothing else is, so the printed
-//! table is both the reference and a file that parses.
+//! Invariant: exactly the rows of [`settings_table`] are read here, so the printed table is both
+//! the reference and a file that can be parsed.
 
 use crate::reader::SectionReader;
 use crate::{Document, Findings};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// One row of the settings' reference.
+/// A row of the settings reference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettingsRow {
     /// The section.
     pub section: &'static str,
     /// The key.
     pub key: &'static str,
-    /// The default, empty if the key is required or off by default.
+    /// The default value; empty if the key is required or off by default.
     pub default: &'static str,
-    /// What it does, with its unit.
+    /// Description of the setting, with its unit.
     pub purpose: &'static str,
 }
 
@@ -29,7 +29,7 @@
 
 pub(crate) use rows;
 
-/// The reference of all settings.
+/// Returns the reference table of the daemon's settings.
 ///
 /// # Examples
 /// ```
@@ -67,7 +67,7 @@
     }
 }
 
-/// What one daemon reads at its start.
+/// Settings that a daemon reads at start-up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[expect(missing_docs, reason = "each field is a row of settings_table, which documents it")]
 pub struct Settings {
@@ -99,11 +99,11 @@
     pub log_file: Option<PathBuf>,
 }
 
-const VARIANTS: [&str; 4] = ["spanfold", "round-robin", "least-loaded", "affinity"];
-pub(crate) const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
+const ROUTING_VARIANTS: [&str; 4] = ["spanfold", "round-robin", "least-loaded", "affinity"];
+pub(crate) const LOG_LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
 impl Settings {
-    /// Checks a settings file.
+    /// Parses and verifies a settings file.
     ///
     /// # Errors
     /// All findings, each with file, line and key.
@@ -117,15 +117,15 @@
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
         let mut document = Document::parse(file, text)?;
         let mut findings = Findings::default();
-        enter_missing_sections(&mut document, file, settings_table());
-        let mut settings = Self::blank();
+        add_missing_sections(&mut document, file, settings_table());
+        let mut settings = Self::unset();
         read_sections(&document, file, &mut findings, |section, reader| {
             settings.read_section(section, reader)
         });
         findings.into_result(settings)
     }
 
-    /// The settings as a file that parses, with defaults filled in.
+    /// Returns the settings, including defaults, as a file that can be parsed.
     pub fn print(&self) -> String {
         let mut document = Document::default();
         for row in settings_table() {
@@ -146,19 +146,19 @@
         document.to_string()
     }
 
-    fn blank() -> Self {
-        let unset = SocketAddr::from(([127, 0, 0, 1], 0));
+    fn unset() -> Self {
+        let unset_address = SocketAddr::from(([127, 0, 0, 1], 0));
         Self {
             name: String::new(),
             data_centre: String::new(),
-            callers: unset,
-            operators: unset,
-            peers: unset,
+            callers: unset_address,
+            operators: unset_address,
+            peers: unset_address,
             certificate: PathBuf::new(),
             key: PathBuf::new(),
             authority: PathBuf::new(),
-            key_value: unset,
-            vm_list: unset,
+            key_value: unset_address,
+            vm_list: unset_address,
             secret_file: PathBuf::new(),
             body_bytes: 0,
             upload_bytes: 0,
@@ -209,7 +209,7 @@
                 self.grace_millis = positive(reader, "grace_ms", 60_000);
             }
             "policy" => {
-                self.variant = word(reader, "variant", &VARIANTS, "spanfold");
+                self.variant = one_of(reader, "variant", &ROUTING_VARIANTS, "spanfold");
                 self.tick_millis = positive(reader, "tick_ms", 50);
                 self.session_file = reader.optional("session_file").filter(|v| !v.is_empty()).map(Into::into);
             }
@@ -219,7 +219,7 @@
                 self.answer_bytes = positive(reader, "answer_bytes", 16_384);
             }
             "log" => {
-                self.log_level = word(reader, "level", &LEVELS, "info");
+                self.log_level = one_of(reader, "level", &LOG_LEVELS, "info");
                 self.log_file = reader.optional("file").filter(|v| !v.is_empty()).map(Into::into);
             }
             _ => return false,
@@ -228,20 +228,20 @@
     }
 
     fn value(&self, section: &str, key: &str) -> String {
-        let path = |path: &PathBuf| path.display().to_string();
-        let maybe = |value: &Option<PathBuf>| value.as_ref().map(path).unwrap_or_default();
+        let path_text = |path: &PathBuf| path.display().to_string();
+        let optional_path = |path: &Option<PathBuf>| path.as_ref().map(path_text).unwrap_or_default();
         match (section, key) {
             ("vm", "name") => self.name.clone(),
             ("vm", "data_centre") => self.data_centre.clone(),
             ("listen", "callers") => self.callers.to_string(),
             ("listen", "operators") => self.operators.to_string(),
             ("listen", "peers") => self.peers.to_string(),
-            ("peer", "certificate") => path(&self.certificate),
-            ("peer", "key") => path(&self.key),
-            ("peer", "authority") => path(&self.authority),
+            ("peer", "certificate") => path_text(&self.certificate),
+            ("peer", "key") => path_text(&self.key),
+            ("peer", "authority") => path_text(&self.authority),
             ("platform", "key_value") => self.key_value.to_string(),
             ("platform", "vm_list") => self.vm_list.to_string(),
-            ("secret", "file") => path(&self.secret_file),
+            ("secret", "file") => path_text(&self.secret_file),
             ("limits", "body_bytes") => self.body_bytes.to_string(),
             ("limits", "upload_bytes") => self.upload_bytes.to_string(),
             ("limits", "header_ms") => self.header_millis.to_string(),
@@ -251,26 +251,26 @@
             ("limits", "grace_ms") => self.grace_millis.to_string(),
             ("policy", "variant") => self.variant.clone(),
             ("policy", "tick_ms") => self.tick_millis.to_string(),
-            ("policy", "session_file") => maybe(&self.session_file),
+            ("policy", "session_file") => optional_path(&self.session_file),
             ("claims", "shards") => self.shards.to_string(),
             ("claims", "flush_ms") => self.flush_millis.to_string(),
             ("claims", "answer_bytes") => self.answer_bytes.to_string(),
             ("log", "level") => self.log_level.clone(),
-            ("log", "file") => maybe(&self.log_file),
+            ("log", "file") => optional_path(&self.log_file),
             _ => String::new(),
         }
     }
 }
 
-/// Adds the sections of `table` that the file leaves out, so that their required keys are reported.
-pub(crate) fn enter_missing_sections(document: &mut Document, file: &str, table: &[SettingsRow]) {
+/// Adds the sections of `table` that the file lacks, so that missing required keys are reported.
+pub(crate) fn add_missing_sections(document: &mut Document, file: &str, table: &[SettingsRow]) {
     for row in table {
-        let last = document.sections.last().map_or(1, |section| section.line);
+        let last_line = document.sections.last().map_or(1, |section| section.line);
         if !document.sections.iter().any(|section| section.header() == row.section) {
             document.sections.push(crate::Section {
                 kind: row.section.to_owned(),
                 name: String::new(),
-                line: last,
+                line: last_line,
                 file: file.to_owned(),
                 properties: Vec::new(),
             });
@@ -278,16 +278,18 @@
     }
 }
 
-/// Has each section read by `read`, which tells whether it knows it; reports what nobody read.
+/// Reads each section with `read`, which returns whether it recognizes the section.
+///
+/// Reports unrecognized sections and the keys that were not read.
 pub(crate) fn read_sections(
     document: &Document,
     file: &str,
     findings: &mut Findings,
-    mut read: impl FnMut(&str, &mut SectionReader<'_>) -> bool,
+    mut read_section: impl FnMut(&str, &mut SectionReader<'_>) -> bool,
 ) {
     for section in &document.sections {
         let mut reader = SectionReader::new(section, findings);
-        if read(&section.header(), &mut reader) {
+        if read_section(&section.header(), &mut reader) {
             reader.finish();
         } else {
             findings.add(file, section.line, section.header(), "unknown section");
@@ -322,15 +324,15 @@
     value
 }
 
-pub(crate) fn word(
+pub(crate) fn one_of(
     reader: &mut SectionReader<'_>,
     key: &'static str,
-    known: &[&str],
+    choices: &[&str],
     default: &str,
 ) -> String {
     let text = reader.optional(key).unwrap_or(default);
-    if !known.contains(&text) {
-        reader.report(key, format!("`{text}` is none of {}", known.join(", ")));
+    if !choices.contains(&text) {
+        reader.report(key, format!("`{text}` is none of {}", choices.join(", ")));
     }
     text.to_owned()
 }
--- a/crates/declare/src/verify.rs
+++ b/crates/declare/src/verify.rs
@@ -1,7 +1,7 @@
-//! The verifier of declarations: walks the whole document and collects every fault.
+//! The verifier of declarations, which checks the whole document and collects every fault.
 //!
-//! Invariant: sections are read first, each on its own; relations between them are checked after,
-//! so that one unreadable section does not hide faults in the others.
+//! Invariant: each section is read on its own first; relations between sections are checked
+//! afterwards, so that one malformed section does not hide faults in the others.
 
 use crate::reader::SectionReader;
 use crate::{
@@ -11,12 +11,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Endpoints without a declared number of slots work on this many requests at once.
+/// Number of concurrent requests of endpoints that declare no slots.
 const DEFAULT_SLOTS: u32 = 8;
-/// Shares of one pool may add up to this much, rounding included.
-const WHOLE_PERCENT: f64 = 100.000_1;
+/// Maximum total of the shares of one pool, with a tolerance for rounding.
+const MAX_TOTAL_PERCENT: f64 = 100.000_1;
 /// Length of a key digest in hexadecimal digits.
-const DIGEST_DIGITS: usize = 64;
+const DIGEST_HEX_DIGITS: usize = 64;
 
 pub(crate) fn check(document: &Document) -> Result<Declarations, Findings> {
     let mut findings = Findings::default();
@@ -69,7 +69,10 @@
 fn read_account(section: &Section, reader: &mut SectionReader<'_>) -> ClientAccount {
     let key_digests: Vec<String> =
         reader.optional("key_digests").unwrap_or_default().split_whitespace().map(str::to_owned).collect();
-    if key_digests.iter().any(|d| d.len() != DIGEST_DIGITS || !d.chars().all(|c| c.is_ascii_hexdigit())) {
+    if key_digests
+        .iter()
+        .any(|digest| digest.len() != DIGEST_HEX_DIGITS || !digest.chars().all(|c| c.is_ascii_hexdigit()))
+    {
         reader.report("key_digests", "a digest has 64 hexadecimal digits; see `spanfold digest`");
     }
     let rate = reader.number("rate", 0.0);
@@ -79,13 +82,13 @@
     ClientAccount {
         name: section.name.clone(),
         key_digests,
-        labels: reader.with("labels", Labels::parse),
+        labels: reader.parsed("labels", Labels::parse),
         rate,
         concurrency: reader.number("concurrency", 0),
     }
 }
 
-fn read_kind(text: &str) -> Result<EndpointKind, String> {
+fn parse_kind(text: &str) -> Result<EndpointKind, String> {
     match text {
         "engine" => Ok(EndpointKind::Engine),
         "service" => Ok(EndpointKind::Service),
@@ -96,7 +99,7 @@
 
 fn read_pool(section: &Section, reader: &mut SectionReader<'_>) -> Pool {
     reader.required("kind");
-    let kind = reader.with("kind", read_kind);
+    let kind = reader.parsed("kind", parse_kind);
     if kind == EndpointKind::Engine {
         reader.required("model");
         reader.required("version");
@@ -104,8 +107,8 @@
     Pool {
         name: section.name.clone(),
         kind,
-        labels: reader.with("labels", Labels::parse),
-        selector: reader.with("selector", Selector::parse),
+        labels: reader.parsed("labels", Labels::parse),
+        selector: reader.parsed("selector", Selector::parse),
         model: reader.optional("model").unwrap_or_default().to_owned(),
         version: reader.optional("version").unwrap_or_default().to_owned(),
         not_repeatable: reader
@@ -129,10 +132,10 @@
     }
     Endpoint {
         name: section.name.clone(),
-        kind: reader.with("kind", read_kind),
+        kind: reader.parsed("kind", parse_kind),
         address: address.to_owned(),
         data_centre: reader.required("data_centre").to_owned(),
-        labels: reader.with("labels", Labels::parse),
+        labels: reader.parsed("labels", Labels::parse),
         slots,
         fenced: reader.flag("fenced", false),
         draining: reader.flag("draining", false),
@@ -146,15 +149,15 @@
     }
     Share {
         name: section.name.clone(),
-        accounts: reader.with("accounts", Selector::parse),
-        resources: reader.with("resources", Selector::parse),
+        accounts: reader.parsed("accounts", Selector::parse),
+        resources: reader.parsed("resources", Selector::parse),
         percent,
     }
 }
 
 fn read_objective(section: &Section, reader: &mut SectionReader<'_>) -> Objective {
     reader.required("kind");
-    let kind = reader.with("kind", |text| match text {
+    let kind = reader.parsed("kind", |text| match text {
         "first-token" => Ok(ObjectiveKind::FirstToken),
         "answer" => Ok(ObjectiveKind::Answer),
         "availability" => Ok(ObjectiveKind::Availability),
@@ -166,18 +169,18 @@
     }
     let threshold_millis = reader.number("threshold_ms", 0);
     if threshold_millis == 0 && kind != ObjectiveKind::Availability {
-        reader.report("threshold_ms", "is required for an objective on time");
+        reader.report("threshold_ms", "is required unless kind is availability");
     }
     Objective {
         name: section.name.clone(),
-        accounts: reader.with("accounts", Selector::parse),
+        accounts: reader.parsed("accounts", Selector::parse),
         kind,
         threshold_millis,
         target,
     }
 }
 
-fn place_of<'a>(document: &'a Document, kind: &str, name: &str) -> (&'a str, u32) {
+fn find_location<'a>(document: &'a Document, kind: &str, name: &str) -> (&'a str, u32) {
     document
         .sections
         .iter()
@@ -189,10 +192,15 @@
     let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
     for account in declarations.accounts.values() {
         for digest in &account.key_digests {
-            if let Some(other) = owners.insert(digest, &account.name) {
-                let (file, line) = place_of(document, "client-account", &account.name);
+            if let Some(owner) = owners.insert(digest, &account.name) {
+                let (file, line) = find_location(document, "client-account", &account.name);
                 let key = format!("client-account {}/key_digests", account.name);
-                findings.add(file, line, key, format!("a digest is client account `{other}`'s already"));
+                findings.add(
+                    file,
+                    line,
+                    key,
+                    format!("a digest belongs to client account `{owner}` already"),
+                );
             }
         }
     }
@@ -201,12 +209,17 @@
 fn check_pools(document: &Document, declarations: &Declarations, findings: &mut Findings) {
     let mut models: BTreeMap<&str, &str> = BTreeMap::new();
     for pool in declarations.pools.values() {
-        let (file, line) = place_of(document, "pool", &pool.name);
+        let (file, line) = find_location(document, "pool", &pool.name);
         if !pool.model.is_empty()
-            && let Some(other) = models.insert(&pool.model, &pool.name)
+            && let Some(owner) = models.insert(&pool.model, &pool.name)
         {
             let key = format!("pool {}/model", pool.name);
-            findings.add(file, line, key, format!("model `{}` is pool `{other}`'s already", pool.model));
+            findings.add(
+                file,
+                line,
+                key,
+                format!("model `{}` belongs to pool `{owner}` already", pool.model),
+            );
         }
         let total: f64 = declarations
             .shares
@@ -214,7 +227,7 @@
             .filter(|share| share.resources.matches(&pool.labels))
             .map(|share| share.percent)
             .sum();
-        if total > WHOLE_PERCENT {
+        if total > MAX_TOTAL_PERCENT {
             let key = format!("pool {}", pool.name);
             findings.add(file, line, key, format!("its shares add up to {total} percent"));
         }
--- a/crates/keyvalue/src/head.rs
+++ b/crates/keyvalue/src/head.rs
@@ -1,7 +1,7 @@
-//! The head record: which configuration is accepted.
+//! The head record, which names the accepted configuration.
 //!
 //! Invariant: a change is accepted by one compare-and-swap on the head, after its chunks are
-//! written; the chunks are named by their content, so a lost or repeated write of one is harmless.
+//! written; chunks are named by their content, so a lost or repeated chunk write is harmless.
 
 use crate::{KeyValueClient, PlatformError, StoredValue, SwapOutcome};
 use serde::{Deserialize, Serialize};
@@ -10,34 +10,36 @@
 /// The key of the head record.
 pub const HEAD_KEY: &str = "spanfold/head";
 
-/// The head record.
+/// The record that names the accepted configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationHead {
-    /// Grows by one with each accepted change.
+    /// Generation of the configuration, which increases by one with each accepted change.
     pub generation: u64,
     /// Digests of the chunks, by bucket.
     pub digests: Vec<String>,
-    /// Who made the change, as they named themselves.
+    /// Author of the change, as given by the author.
     pub author: String,
-    /// Drawn for each change; tells one's own write from another's.
+    /// Random value of each change, which distinguishes its write from others.
     pub nonce: String,
 }
 
 impl ConfigurationHead {
-    /// Reads the head and the revision at which it was written; generation zero if there is none.
+    /// Reads the head and the revision at which it was written.
+    ///
+    /// If there is no record, returns a head of generation zero and revision zero.
     ///
     /// # Errors
     /// If the platform did not answer.
     pub async fn read(client: &KeyValueClient) -> Result<(Self, u64), PlatformError> {
-        Ok(client.get(HEAD_KEY).await?.map_or_else(Default::default, |value| parse(&value)))
+        Ok(client.get(HEAD_KEY).await?.map_or_else(Default::default, |value| parse_head(&value)))
     }
 }
 
-fn parse(value: &StoredValue) -> (ConfigurationHead, u64) {
+fn parse_head(value: &StoredValue) -> (ConfigurationHead, u64) {
     (serde_json::from_str(&value.text).unwrap_or_default(), value.revision)
 }
 
-/// The key of the chunk with this digest.
+/// Returns the key of the chunk with this digest.
 ///
 /// # Examples
 /// ```
@@ -50,25 +52,26 @@
 /// Why a change was not accepted.
 #[derive(Debug, thiserror::Error)]
 pub enum AcceptError {
-    /// Another change came first.
+    /// Another change was accepted first.
     #[error("lost the race: generation {} by {} is accepted, {expected} was expected", .head.generation, .head.author)]
     Lost {
-        /// The head that stands.
+        /// The current head.
         head: ConfigurationHead,
         /// The generation that was expected.
         expected: u64,
     },
-    /// The platform failed.
+    /// A call to the platform failed.
     #[error(transparent)]
     Platform(#[from] PlatformError),
 }
 
-/// Writes `chunks` and then the head that names them, if the accepted generation is `expected`.
+/// Writes `chunks` and then their head, if the accepted generation is `expected`.
 ///
-/// A head write without an answer is resolved by reading: the nonce tells whose it is.
+/// If the write of the head gets no answer, the head is read back: its nonce shows whether the
+/// write took effect.
 ///
 /// # Errors
-/// If another change came first, or the platform failed.
+/// If another change was accepted first, or a call to the platform failed.
 pub async fn accept_bundle(
     client: &KeyValueClient,
     expected: u64,
@@ -77,12 +80,12 @@
     author: &str,
     nonce: &str,
 ) -> Result<ConfigurationHead, AcceptError> {
-    let (standing, revision) = ConfigurationHead::read(client).await?;
-    if standing.generation != expected {
-        return Err(AcceptError::Lost { head: standing, expected });
+    let (current_head, revision) = ConfigurationHead::read(client).await?;
+    if current_head.generation != expected {
+        return Err(AcceptError::Lost { head: current_head, expected });
     }
     for (digest, text) in chunks {
-        if !standing.digests.contains(digest) {
+        if !current_head.digests.contains(digest) {
             client.put(&chunk_key(digest), text).await?;
         }
     }
@@ -95,18 +98,26 @@
     let text = serde_json::to_string(&head).unwrap_or_default();
     match client.compare_and_swap(HEAD_KEY, revision, &text).await {
         Ok(SwapOutcome::Done) => Ok(head),
-        Ok(SwapOutcome::Lost(other)) => {
-            let other = other.map(|value| parse(&value).0).unwrap_or_default();
-            if other == head { Ok(head) } else { Err(AcceptError::Lost { head: other, expected }) }
+        Ok(SwapOutcome::Lost(stored_value)) => {
+            let stored_head = stored_value.map(|value| parse_head(&value).0).unwrap_or_default();
+            if stored_head == head {
+                Ok(head)
+            } else {
+                Err(AcceptError::Lost { head: stored_head, expected })
+            }
         }
         Err(error) => {
-            let (other, _) = ConfigurationHead::read(client).await.map_err(|_error| error)?;
-            if other == head { Ok(head) } else { Err(AcceptError::Lost { head: other, expected }) }
+            let (stored_head, _) = ConfigurationHead::read(client).await.map_err(|_error| error)?;
+            if stored_head == head {
+                Ok(head)
+            } else {
+                Err(AcceptError::Lost { head: stored_head, expected })
+            }
         }
     }
 }
 
-/// Reads the chunks named by `digests`; those that are missing are left out.
+/// Reads the chunks named by `digests`; omits missing ones.
 ///
 /// # Errors
 /// If the platform did not answer.
--- a/crates/keyvalue/src/http.rs
+++ b/crates/keyvalue/src/http.rs
@@ -1,7 +1,8 @@
-//! JSON over HTTP, with the one distinction that matters to callers.
+//! JSON calls over HTTP.
 //!
-//! Invariant: [`PlatformError::NotSent`] is returned only if no byte of the call left this
-//! process; whatever else goes wrong may have taken effect.
+//! Errors distinguish calls that were not sent from those that may have taken effect. Invariant:
+//! [`PlatformError::NotSent`] is returned only if no byte of the call left this process; after any
+//! other error the call may have taken effect.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -13,19 +14,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A read that takes longer has failed.
+/// Timeout of [`post_json`] and [`read_json`].
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a call to the platform failed.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
-    /// No connection came about: the call was not made.
+    /// No connection was established: the call was not sent.
     #[error("the platform cannot be reached: {0}")]
     NotSent(String),
-    /// The call was sent, but no answer came: it may have taken effect.
+    /// The call was sent, but no usable answer was received: it may have taken effect.
     #[error("the platform did not answer: {0}")]
     Unknown(String),
-    /// The platform answered with an error.
+    /// The platform answered with an error status.
     #[error("the platform answered {status}: {text}")]
     Refused {
         /// The HTTP status.
@@ -44,7 +45,7 @@
     Client::builder(TokioExecutor::new()).build(connector)
 }
 
-/// Calls `path` with a JSON body (a POST) or without one (a GET).
+/// Sends a POST with a JSON body, or a GET without one, and returns the JSON answer.
 pub(crate) async fn call(
     client: &JsonClient,
     address: SocketAddr,
@@ -62,8 +63,8 @@
             }
         })?;
         let status = response.status();
-        let unknown = |error: hyper::Error| PlatformError::Unknown(error.to_string());
-        let bytes = response.into_body().collect().await.map_err(unknown)?.to_bytes();
+        let body_error = |error: hyper::Error| PlatformError::Unknown(error.to_string());
+        let bytes = response.into_body().collect().await.map_err(body_error)?.to_bytes();
         if !status.is_success() {
             let text = String::from_utf8_lossy(&bytes).into_owned();
             return Err(PlatformError::Refused { status: status.as_u16(), text });
@@ -89,18 +90,18 @@
     request.map_err(|error| PlatformError::NotSent(error.to_string()))
 }
 
-/// Posts `body` to a JSON resource of `address`.
+/// Posts `body` to a JSON resource of the server at `address`.
 ///
 /// # Errors
-/// If there was no answer, it is an error, or it is not JSON.
+/// If there is no answer, or it is an error or not JSON.
 pub async fn post_json(address: SocketAddr, path: &str, body: &Value) -> Result<Value, PlatformError> {
     call(&json_client(), address, path, Some(body), READ_TIMEOUT).await
 }
 
-/// Reads a JSON resource of `address`, such as a VM's `/status`.
+/// Reads a JSON resource of the server at `address`, such as a VM's `/status`.
 ///
 /// # Errors
-/// If there was no answer, or it is not JSON.
+/// If there is no answer, or it is an error or not JSON.
 pub async fn read_json(address: SocketAddr, path: &str) -> Result<Value, PlatformError> {
     call(&json_client(), address, path, None, READ_TIMEOUT).await
 }
--- a/crates/keyvalue/src/key_value.rs
+++ b/crates/keyvalue/src/key_value.rs
@@ -1,8 +1,8 @@
-//! The key-value service, by etcd v3's JSON gateway.
+//! Client of the key-value service, through etcd v3's JSON gateway.
 //!
 //! Keys and values are base64 in JSON; 64-bit numbers are JSON strings (the protobuf mapping).
-//! Invariant: every call is counted by kind, a waiting watch as one, because the platform's rates
-//! grow more slowly than the fleet.
+//! Invariant: every call is counted by kind, an open watch as one call, because the platform's
+//! rates grow more slowly than the fleet.
 
 use crate::PlatformError;
 use crate::http::{JsonClient, call, json_client, json_request};
@@ -15,10 +15,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A call that takes longer is taken as unanswered.
+/// Timeout after which a call counts as unanswered.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Calls made, by kind.
+/// Numbers of calls by kind.
 #[derive(Debug, Default)]
 pub struct CallCounts {
     reads: AtomicU64,
@@ -27,30 +27,30 @@
 }
 
 impl CallCounts {
-    /// The counts with their kinds' names.
+    /// Returns the label and the count of each kind.
     pub fn read(&self) -> [(&'static str, u64); 3] {
-        let get = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        [("read", get(&self.reads)), ("write", get(&self.writes)), ("watch", get(&self.watches))]
+        let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        [("read", load(&self.reads)), ("write", load(&self.writes)), ("watch", load(&self.watches))]
     }
 }
 
-/// A value and the revision at which it was last changed.
+/// A key and its value, with the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredValue {
-    /// Its key.
+    /// The key.
     pub key: String,
-    /// Its text.
+    /// The value, as text.
     pub text: String,
     /// The revision of its last change.
     pub revision: u64,
 }
 
-/// How a compare-and-swap ended.
+/// Result of a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SwapOutcome {
     /// The value was written.
     Done,
-    /// Another value stands there (none: the key is not there).
+    /// The revision did not match: the current value, or none if the key does not exist.
     Lost(Option<StoredValue>),
 }
 
@@ -63,7 +63,7 @@
 }
 
 impl KeyValueClient {
-    /// A client of the service at `address`.
+    /// Creates a client of the service at `address`.
     ///
     /// # Examples
     /// ```
@@ -75,7 +75,7 @@
         Self { client: json_client(), address, counts: Arc::default() }
     }
 
-    /// Calls made so far.
+    /// Returns the numbers of calls since the client was created.
     pub fn counts(&self) -> &CallCounts {
         &self.counts
     }
@@ -85,10 +85,10 @@
     /// # Errors
     /// If the platform did not answer.
     pub async fn get(&self, key: &str) -> Result<Option<StoredValue>, PlatformError> {
-        Ok(self.range(&json!({ "key": encode(key) })).await?.pop())
+        Ok(self.range(&json!({ "key": encode_base64(key) })).await?.pop())
     }
 
-    /// Reads the keys from `start` up to but not including `end`, in order, `limit` at most.
+    /// Reads at most `limit` keys from `start` up to but not including `end`, in order.
     ///
     /// # Errors
     /// If the platform did not answer.
@@ -98,7 +98,9 @@
         end: &str,
         limit: u32,
     ) -> Result<Vec<StoredValue>, PlatformError> {
-        let body = json!({ "key": encode(start), "range_end": encode(end), "limit": limit.to_string() });
+        let body = json!({
+            "key": encode_base64(start), "range_end": encode_base64(end), "limit": limit.to_string(),
+        });
         self.range(&body).await
     }
 
@@ -108,17 +110,17 @@
         Ok(read_values(&answer))
     }
 
-    /// Writes one key, whatever stands there.
+    /// Writes one key, regardless of its current value.
     ///
     /// # Errors
     /// If the platform did not answer; the write may have taken effect.
     pub async fn put(&self, key: &str, text: &str) -> Result<(), PlatformError> {
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
-        let body = json!({ "key": encode(key), "value": encode(text) });
+        let body = json!({ "key": encode_base64(key), "value": encode_base64(text) });
         call(&self.client, self.address, "/v3/kv/put", Some(&body), CALL_TIMEOUT).await.map(drop)
     }
 
-    /// Writes `key` if its last change is at `revision` (zero: if it is not there).
+    /// Writes `key` if its last change is at `revision`; zero: if it does not exist.
     ///
     /// # Errors
     /// If the platform did not answer; the write may have taken effect.
@@ -130,27 +132,28 @@
     ) -> Result<SwapOutcome, PlatformError> {
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
         let body = json!({
-            "compare": [{ "key": encode(key), "target": "MOD", "result": "EQUAL",
+            "compare": [{ "key": encode_base64(key), "target": "MOD", "result": "EQUAL",
                           "mod_revision": revision.to_string() }],
-            "success": [{ "request_put": { "key": encode(key), "value": encode(text) } }],
-            "failure": [{ "request_range": { "key": encode(key) } }],
+            "success": [{ "request_put": { "key": encode_base64(key), "value": encode_base64(text) } }],
+            "failure": [{ "request_range": { "key": encode_base64(key) } }],
         });
         let answer = call(&self.client, self.address, "/v3/kv/txn", Some(&body), CALL_TIMEOUT).await?;
         if answer["succeeded"].as_bool() == Some(true) {
             return Ok(SwapOutcome::Done);
         }
-        let standing = read_values(&answer["responses"][0]["response_range"]).pop();
-        Ok(SwapOutcome::Lost(standing))
+        let current_value = read_values(&answer["responses"][0]["response_range"]).pop();
+        Ok(SwapOutcome::Lost(current_value))
     }
 
-    /// Waits until `key` changes after `revision`; returns when it has, or the watch has broken.
+    /// Waits until `key` changes after `revision`.
     ///
     /// # Errors
-    /// If the watch could not be made or broke.
+    /// If the watch could not be opened or broke.
     pub async fn wait_for_change(&self, key: &str, revision: u64) -> Result<(), PlatformError> {
         self.counts.watches.fetch_add(1, Ordering::Relaxed);
-        let body =
-            json!({ "create_request": { "key": encode(key), "start_revision": (revision + 1).to_string() } });
+        let body = json!({
+            "create_request": { "key": encode_base64(key), "start_revision": (revision + 1).to_string() },
+        });
         let request = json_request(self.address, "/v3/watch", Some(&body))?;
         let response =
             self.client.request(request).await.map_err(|error| PlatformError::NotSent(error.to_string()))?;
@@ -171,17 +174,17 @@
     }
 }
 
-fn encode(text: &str) -> String {
+fn encode_base64(text: &str) -> String {
     STANDARD.encode(text)
 }
 
-fn decode(value: &Value) -> String {
+fn decode_base64(value: &Value) -> String {
     let bytes = value.as_str().and_then(|text| STANDARD.decode(text).ok()).unwrap_or_default();
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// A 64-bit number, which JSON carries as a string.
-fn number(value: &Value) -> u64 {
+/// Parses a 64-bit number, which is a string in JSON.
+fn parse_u64(value: &Value) -> u64 {
     value.as_str().and_then(|text| text.parse().ok()).or_else(|| value.as_u64()).unwrap_or(0)
 }
 
@@ -189,9 +192,9 @@
     let rows = answer["kvs"].as_array().map_or(&[][..], Vec::as_slice);
     rows.iter()
         .map(|row| StoredValue {
-            key: decode(&row["key"]),
-            text: decode(&row["value"]),
-            revision: number(&row["mod_revision"]),
+            key: decode_base64(&row["key"]),
+            text: decode_base64(&row["value"]),
+            revision: parse_u64(&row["mod_revision"]),
         })
         .collect()
 }
--- a/crates/keyvalue/src/lib.rs
+++ b/crates/keyvalue/src/lib.rs
@@ -1,9 +1,9 @@
 //! Clients of the platform: its key-value service and its VM list.
 //!
-//! - [`KeyValueClient`] speaks etcd v3's JSON gateway and counts its own calls by kind.
+//! - [`KeyValueClient`] uses etcd v3's JSON gateway and counts its calls by kind.
 //! - [`ListClient`] reads the VM list.
-//! - [`PlatformError`] tells a call that was not made from one whose outcome is unknown.
-//! - [`ConfigurationHead`] is the record that names the configuration in force.
+//! - [`PlatformError`] distinguishes calls that were not sent from those of unknown outcome.
+//! - [`ConfigurationHead`] is the record that names the accepted configuration.
 
 mod head;
 mod http;
--- a/crates/keyvalue/src/list.rs
+++ b/crates/keyvalue/src/list.rs
@@ -1,6 +1,7 @@
-//! The VM list: a small JSON resource, `{"vms": [{name, role, address, data_centre, state}]}`.
+//! Client of the VM list, a JSON resource: `{"vms": [{name, role, address, data_centre, state}]}`.
 //!
-//! Invariant: what is read is what the platform says, lag included; judging it is not done here.
+//! Invariant: the rows are returned as the platform reports them, possibly late; nothing here
+//! evaluates them.
 
 use crate::PlatformError;
 use crate::http::{JsonClient, call, json_client};
@@ -8,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A read that takes longer has failed.
+/// Timeout of a read.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One row of the VM list.
@@ -18,7 +19,7 @@
     pub name: String,
     /// `entry` or `endpoint`.
     pub role: String,
-    /// Peer address of an entry VM, service address of an endpoint VM; `IP:PORT`.
+    /// Peer address of an entry VM or service address of an endpoint VM, `IP:PORT`.
     pub address: String,
     /// Its data centre.
     pub data_centre: String,
@@ -27,7 +28,7 @@
 }
 
 #[derive(Deserialize)]
-struct ListBody {
+struct VmListResponse {
     vms: Vec<PlatformVm>,
 }
 
@@ -39,7 +40,7 @@
 }
 
 impl ListClient {
-    /// A client of the list at `address`.
+    /// Creates a client of the list at `address`.
     ///
     /// # Examples
     /// ```
@@ -50,14 +51,14 @@
         Self { client: json_client(), address }
     }
 
-    /// Reads the list.
+    /// Reads the VM list.
     ///
     /// # Errors
     /// If the platform did not answer, or the answer is malformed.
     pub async fn read(&self) -> Result<Vec<PlatformVm>, PlatformError> {
         let answer = call(&self.client, self.address, "/vms", None, READ_TIMEOUT).await?;
-        let body: ListBody =
+        let response: VmListResponse =
             serde_json::from_value(answer).map_err(|error| PlatformError::Unknown(error.to_string()))?;
-        Ok(body.vms)
+        Ok(response.vms)
     }
 }
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -1,27 +1,27 @@
-//! Frames: a length of four bytes, big-endian, and a postcard body.
+//! Frames: a big-endian length of four bytes, followed by a postcard body.
 //!
-//! Invariant: a frame longer than the limit closes the connection before its body is read, so a
-//! malformed peer cannot make this VM reserve memory.
+//! Invariant: a frame over the length limit ends the connection before its body is read, so that a
+//! faulty peer cannot make this VM allocate memory.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Longest frame; the chunks of a whole configuration fit.
+/// Maximum length of a frame's body; the chunks of a whole configuration fit in.
 const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
-const LENGTH_BYTES: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// The frame of `value`.
+/// Encodes `value` as a frame.
 pub(crate) fn encode<T: Serialize>(value: &T) -> Option<Vec<u8>> {
-    let mut frame = vec![0; LENGTH_BYTES];
+    let mut frame = vec![0; LENGTH_PREFIX_BYTES];
     frame = postcard::to_extend(value, frame).ok()?;
-    let length = u32::try_from(frame.len() - LENGTH_BYTES).ok()?;
-    frame[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
+    let length = u32::try_from(frame.len() - LENGTH_PREFIX_BYTES).ok()?;
+    frame[..LENGTH_PREFIX_BYTES].copy_from_slice(&length.to_be_bytes());
     Some(frame)
 }
 
-/// Reads the next frame; none at the end of the stream or if the frame is malformed.
+/// Reads the next frame; none if the stream has ended or the frame is malformed.
 pub(crate) async fn read<T: DeserializeOwned>(stream: &mut quinn::RecvStream) -> Option<T> {
-    let mut length = [0; LENGTH_BYTES];
+    let mut length = [0; LENGTH_PREFIX_BYTES];
     stream.read_exact(&mut length).await.ok()?;
     let length = u32::from_be_bytes(length) as usize;
     if length > MAX_FRAME_BYTES {
--- a/crates/peer/src/identity.rs
+++ b/crates/peer/src/identity.rs
@@ -1,7 +1,7 @@
-//! A VM's identity: its name, certificate and key, and the authority that it trusts.
+//! A VM's identity: its name, certificate and key, and its certificate authority.
 //!
-//! Invariant: both sides of a connection show a certificate of the same authority that is valid
-//! for the name they go by; a key of one VM cannot speak for another.
+//! Invariant: both sides of a connection present a certificate of the same authority that is valid
+//! for the name they use; the key of one VM cannot authenticate another.
 
 use quinn::crypto::rustls::{QuicClientConfig, QuicServerConfig};
 use rustls::pki_types::pem::PemObject;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A silent connection ends after this long; heartbeats come each second.
+/// Time without traffic after which a connection is closed; heartbeats are sent every second.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Why an identity cannot be used.
@@ -22,18 +22,18 @@
     File {
         /// The file.
         file: String,
-        /// Why.
+        /// The error.
         cause: String,
     },
-    /// The parts do not fit together.
-    #[error("certificate, key and authority do not fit together: {0}")]
+    /// Certificate, key and authority do not match.
+    #[error("certificate, key and authority do not match: {0}")]
     Mismatch(String),
     /// The address cannot be listened on.
     #[error("cannot listen: {0}")]
     Listen(#[from] std::io::Error),
 }
 
-/// A VM's name, certificate and key, and the authority that it trusts.
+/// A VM's name with TLS configurations from its certificate, key and authority.
 #[derive(Debug)]
 pub struct PeerIdentity {
     pub(crate) name: String,
@@ -45,7 +45,7 @@
     /// Reads the identity of the VM called `name` from PEM files.
     ///
     /// # Errors
-    /// If a file cannot be read, or the parts do not fit together.
+    /// If a file cannot be read, or certificate, key and authority do not match.
     ///
     /// # Examples
     /// ```
@@ -91,12 +91,12 @@
     }
 }
 
-/// Whether the certificate that `connection` showed is valid for `name`.
-pub(crate) fn speaks_for(connection: &quinn::Connection, name: &str) -> bool {
+/// Whether the peer's certificate on `connection` is valid for `name`.
+pub(crate) fn is_certified_as(connection: &quinn::Connection, name: &str) -> bool {
     let Some(identity) = connection.peer_identity() else { return false };
     let Ok(chain) = identity.downcast::<Vec<CertificateDer<'static>>>() else { return false };
-    let Some(Ok(leaf)) = chain.first().map(webpki::EndEntityCert::try_from) else { return false };
-    ServerName::try_from(name).is_ok_and(|name| leaf.verify_is_valid_for_subject_name(&name).is_ok())
+    let Some(Ok(certificate)) = chain.first().map(webpki::EndEntityCert::try_from) else { return false };
+    ServerName::try_from(name).is_ok_and(|name| certificate.verify_is_valid_for_subject_name(&name).is_ok())
 }
 
 fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, IdentityError> {
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,9 +1,9 @@
 //! The protocol between entry VMs: typed messages over QUIC with mutual TLS.
 //!
-//! - [`PeerNode`] listens, connects on demand, and carries [`spanfold_kernel::Message`]s.
-//! - [`PeerIdentity`] is a VM's name, certificate and key, and the authority it trusts.
+//! - [`PeerNode`] listens, connects on demand, and transfers [`spanfold_kernel::Message`]s.
+//! - [`PeerIdentity`] is a VM's name, certificate and key, and its certificate authority.
 //!
-//! Each direction has a connection and one stream of length-prefixed frames of its own, so that
+//! Each direction has its own connection with one stream of length-prefixed frames, so that
 //! messages from one VM to another keep their order.
 
 mod frame;
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/node.rs
@@ -1,10 +1,10 @@
-//! A VM's side of the peer protocol.
+//! Sending and receiving of messages between VMs.
 //!
-//! Invariant: sending never waits. Each peer has a bounded line; what does not fit or cannot be
-//! delivered is dropped, because every message may be lost and every loss is made good by a
-//! repeat or a heartbeat. Blocking the control thread on a cut link would be worse.
+//! Invariant: sending never blocks. Each peer has a bounded queue; messages that do not fit in or
+//! cannot be delivered are dropped, because every message may be lost and a repeat or a heartbeat
+//! compensates for it. Blocking the control thread on a broken link would be worse.
 
-use crate::identity::speaks_for;
+use crate::identity::is_certified_as;
 use crate::{IdentityError, PeerIdentity, frame};
 use serde::{Deserialize, Serialize};
 use spanfold_kernel::Message;
@@ -15,43 +15,43 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Messages that wait for one peer.
-const LINE_LENGTH: usize = 4_096;
-/// Pause after a failed connection.
-const RECONNECT: Duration = Duration::from_millis(200);
-/// A handshake that takes longer has failed.
-const HANDSHAKE: Duration = Duration::from_secs(2);
+/// Capacity of the send queue of one peer.
+const MAX_QUEUED_MESSAGES: usize = 4_096;
+/// Delay after a failed attempt to connect.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// Time after which a handshake counts as failed.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The first frame of a stream: who speaks.
+/// The first frame of a stream, which identifies the sender.
 #[derive(Debug, Serialize, Deserialize)]
-struct Hello {
+struct HelloFrame {
     name: String,
     incarnation: u64,
 }
 
-/// A message and the name of the VM that sent it.
+/// A message with the name of its sender.
 #[derive(Debug)]
 pub struct ReceivedMessage {
-    /// The sender's name, as its certificate says.
+    /// The sender's name, for which its certificate is valid.
     pub from: String,
-    /// What it said.
+    /// The message.
     pub message: Message,
 }
 
-/// Bytes and messages that went out and came in.
+/// Counters of sent bytes and of sent and received messages.
 #[derive(Debug, Default)]
-struct Traffic {
-    bytes_out: AtomicU64,
-    messages_out: AtomicU64,
-    messages_in: AtomicU64,
+struct TrafficCounters {
+    bytes_sent: AtomicU64,
+    messages_sent: AtomicU64,
+    messages_received: AtomicU64,
 }
 
-/// One peer: its line, and how its connection is dropped when it has restarted.
+/// Send queue of one peer, with the signal that closes the connection to its previous process.
 #[derive(Debug)]
-struct PeerLine {
+struct PeerQueue {
     address: SocketAddr,
     sender: mpsc::Sender<Vec<u8>>,
-    reset: watch::Sender<u64>,
+    incarnation: watch::Sender<u64>,
 }
 
 /// A VM's side of the peer protocol.
@@ -60,12 +60,12 @@
     endpoint: quinn::Endpoint,
     name: String,
     incarnation: u64,
-    lines: Arc<Mutex<HashMap<String, PeerLine>>>,
-    traffic: Arc<Traffic>,
+    queues: Arc<Mutex<HashMap<String, PeerQueue>>>,
+    traffic: Arc<TrafficCounters>,
 }
 
 impl PeerNode {
-    /// Listens on `address` and gives incoming messages to `inbox`.
+    /// Listens on `address` and sends received messages to `inbox`.
     ///
     /// Must be called within a tokio runtime.
     ///
@@ -83,83 +83,89 @@
             endpoint,
             name: identity.name,
             incarnation,
-            lines: Arc::default(),
+            queues: Arc::default(),
             traffic: Arc::default(),
         };
-        tokio::spawn(accept(node.clone(), inbox));
+        tokio::spawn(accept_connections(node.clone(), inbox));
         Ok(node)
     }
 
-    /// Puts `message` in the line of the peer called `name` at `address`.
+    /// Queues `message` for the peer called `name` at `address`.
     pub fn send(&self, name: &str, address: SocketAddr, message: &Message) {
         let Some(bytes) = frame::encode(message) else { return };
-        self.traffic.bytes_out.fetch_add(bytes.len() as u64, Ordering::Relaxed);
-        self.traffic.messages_out.fetch_add(1, Ordering::Relaxed);
-        let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        let line = match lines.get(name) {
-            Some(line) if line.address == address => line,
+        self.traffic.bytes_sent.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        self.traffic.messages_sent.fetch_add(1, Ordering::Relaxed);
+        let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
+        let queue = match queues.get(name) {
+            Some(queue) if queue.address == address => queue,
             _ => {
-                let line = self.open_line(name, address);
-                lines.insert(name.to_owned(), line);
-                &lines[name]
+                let queue = self.open_queue(name, address);
+                queues.insert(name.to_owned(), queue);
+                &queues[name]
             }
         };
-        if line.sender.try_send(bytes).is_err() {
+        if queue.sender.try_send(bytes).is_err() {
             log::debug!(name:% = name; "peer.line_full");
         }
     }
 
-    /// Forgets the lines of all peers but `known`.
-    pub fn retain(&self, known: impl Fn(&str) -> bool) {
-        self.lines.lock().unwrap_or_else(PoisonError::into_inner).retain(|name, _| known(name));
+    /// Discards the queues of all peers whose names `is_known` rejects.
+    pub fn retain(&self, is_known: impl Fn(&str) -> bool) {
+        self.queues.lock().unwrap_or_else(PoisonError::into_inner).retain(|name, _| is_known(name));
     }
 
-    /// Bytes sent, messages sent and messages received, since the start.
+    /// Returns bytes sent, messages sent and messages received, since the start.
     pub fn traffic(&self) -> (u64, u64, u64) {
-        let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        (read(&self.traffic.bytes_out), read(&self.traffic.messages_out), read(&self.traffic.messages_in))
+        let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        (
+            load(&self.traffic.bytes_sent),
+            load(&self.traffic.messages_sent),
+            load(&self.traffic.messages_received),
+        )
     }
 
-    /// The address that it listens on.
+    /// Returns the address on which it listens.
     pub fn address(&self) -> Option<SocketAddr> {
         self.endpoint.local_addr().ok()
     }
 
-    /// Ends all connections.
+    /// Closes all connections.
     pub fn close(&self) {
         self.endpoint.close(0_u32.into(), b"stop");
     }
 
-    fn open_line(&self, name: &str, address: SocketAddr) -> PeerLine {
-        let (sender, receiver) = mpsc::channel(LINE_LENGTH);
-        let (reset, resets) = watch::channel(0);
-        tokio::spawn(drive_line(self.clone(), name.to_owned(), address, receiver, resets));
-        PeerLine { address, sender, reset }
+    fn open_queue(&self, name: &str, address: SocketAddr) -> PeerQueue {
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let (incarnation, incarnations) = watch::channel(0);
+        tokio::spawn(send_queued(self.clone(), name.to_owned(), address, receiver, incarnations));
+        PeerQueue { address, sender, incarnation }
     }
 
-    /// A peer that has restarted does not know the old connection.
-    fn note_incarnation(&self, name: &str, incarnation: u64) {
-        let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(line) = lines.get(name) {
-            line.reset.send_if_modified(|known| std::mem::replace(known, incarnation) != incarnation);
+    /// Records a peer's incarnation; a change closes the connection, which a restarted peer has lost.
+    fn record_incarnation(&self, name: &str, incarnation: u64) {
+        let queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(queue) = queues.get(name) {
+            queue
+                .incarnation
+                .send_if_modified(|recorded| std::mem::replace(recorded, incarnation) != incarnation);
         }
     }
 }
 
-async fn accept(node: PeerNode, inbox: mpsc::Sender<ReceivedMessage>) {
+async fn accept_connections(node: PeerNode, inbox: mpsc::Sender<ReceivedMessage>) {
     while let Some(incoming) = node.endpoint.accept().await {
         let (node, inbox) = (node.clone(), inbox.clone());
         tokio::spawn(async move {
             let Ok(connection) = incoming.await else { return };
             let Ok(mut stream) = connection.accept_uni().await else { return };
-            let Some(hello) = frame::read::<Hello>(&mut stream).await else { return };
-            if !speaks_for(&connection, &hello.name) {
+            let Some(hello) = frame::read::<HelloFrame>(&mut stream).await else { return };
+            if !is_certified_as(&connection, &hello.name) {
                 log::warn!(claimed:% = hello.name; "peer.name_refused");
                 return;
             }
-            node.note_incarnation(&hello.name, hello.incarnation);
+            node.record_incarnation(&hello.name, hello.incarnation);
             while let Some(message) = frame::read::<Message>(&mut stream).await {
-                node.traffic.messages_in.fetch_add(1, Ordering::Relaxed);
+                node.traffic.messages_received.fetch_add(1, Ordering::Relaxed);
                 let received = ReceivedMessage { from: hello.name.clone(), message };
                 if inbox.send(received).await.is_err() {
                     return;
@@ -169,22 +175,22 @@
     }
 }
 
-/// Connects, writes what comes down the line, and connects again when that breaks.
-async fn drive_line(
+/// Connects to a peer, sends its queued messages, and reconnects when the connection breaks.
+async fn send_queued(
     node: PeerNode,
     name: String,
     address: SocketAddr,
     mut receiver: mpsc::Receiver<Vec<u8>>,
-    mut resets: watch::Receiver<u64>,
+    mut incarnations: watch::Receiver<u64>,
 ) {
     while let Some(first) = receiver.recv().await {
         let Some((connection, mut stream)) = connect(&node, &name, address).await else {
-            // What waited for a peer that is gone is of no use to the one that comes back.
+            // Messages queued for an unreachable peer are of no use to it when it returns.
             while receiver.try_recv().is_ok() {}
-            tokio::time::sleep(RECONNECT).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
             continue;
         };
-        resets.mark_unchanged();
+        incarnations.mark_unchanged();
         let mut next = Some(first);
         while let Some(bytes) = next.take() {
             if stream.write_all(&bytes).await.is_err() {
@@ -193,7 +199,7 @@
             next = tokio::select! {
                 bytes = receiver.recv() => bytes,
                 _ = connection.closed() => None,
-                changed = resets.changed() => {
+                changed = incarnations.changed() => {
                     if changed.is_err() {
                         return;
                     }
@@ -210,9 +216,9 @@
     address: SocketAddr,
 ) -> Option<(quinn::Connection, quinn::SendStream)> {
     let connecting = node.endpoint.connect(address, name).ok()?;
-    let connection = tokio::time::timeout(HANDSHAKE, connecting).await.ok()?.ok()?;
+    let connection = tokio::time::timeout(HANDSHAKE_TIMEOUT, connecting).await.ok()?.ok()?;
     let mut stream = connection.open_uni().await.ok()?;
-    let hello = Hello { name: node.name.clone(), incarnation: node.incarnation };
+    let hello = HelloFrame { name: node.name.clone(), incarnation: node.incarnation };
     stream.write_all(&frame::encode(&hello)?).await.ok()?;
     Some((connection, stream))
 }
