--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,10 +1,12 @@
-//! One clock for all that a gateway believes and promises, and what waits by it.
+//! Clock of the gateway that counts suspensions of the VM, and waits that use it.
 //!
-//! A VM may be suspended for seconds. The steady clock (`CLOCK_MONOTONIC`, under all timers of tokio) does not count that
-//! time; a lease, the age of a configuration, a caller's deadline do. So all moments are counted by `CLOCK_BOOTTIME`, which
-//! does, and what waits until a moment is woken when the two clocks are found apart.
+//! A VM may be suspended for seconds. The monotonic clock (`CLOCK_MONOTONIC`), on which all timers of tokio
+//! are based, does not count that time, but leases, ages of configurations and callers' deadlines do. So all
+//! moments are measured by `CLOCK_BOOTTIME`, which does, and tasks that wait until a moment are woken when
+//! the two clocks have diverged.
 //!
-//! Invariant: nothing that was over when the VM came back is taken for valid, because each use compares moments anew.
+//! Invariant: nothing that expired during a suspension is treated as valid after it, because each use
+//! compares moments again.
 
 use crate::gateway::Gateway;
 use nix::time::{ClockId, clock_gettime};
@@ -14,17 +16,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Clocks are compared so often: what waits is late by this much at most after the VM has come back.
-const COMPARE_PAUSE: Duration = Duration::from_millis(100);
-/// Clocks that are apart by less were read at different moments, or run at slightly different speeds.
-const JUMP_LEAST: Duration = Duration::from_millis(50);
-/// After a longer suspension the store is asked before requests are served on what is believed, in milliseconds: as long
-/// as a change may take to be in force at all VMs that ran on.
-const STALE_MILLIS: u64 = 500;
-/// Requests wait for the store's answer for this long at most, in milliseconds: what can be served is served.
-const ASK_PATIENCE_MILLIS: u64 = 400;
-/// Timers further ahead than this are as good as none, in microseconds: a day.
-const FAR_MICROS: u64 = 86_400_000_000;
+/// Interval between comparisons of the clocks: the maximum delay of a wait after a suspension.
+const COMPARE_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum divergence of the clocks that counts as a suspension.
+///
+/// A smaller one arises because they are read at different moments, or run at slightly different speeds.
+const MIN_CLOCK_JUMP: Duration = Duration::from_millis(50);
+/// Minimum suspension after which the recorded state counts as stale, in milliseconds.
+///
+/// The store is then queried before requests are served. A change may take this long to be in force at all
+/// VMs that were not suspended.
+const MIN_STALE_JUMP_MILLIS: u64 = 500;
+/// Maximum wait of requests for the store's answer, in milliseconds.
+///
+/// After that, requests that can be served are served.
+const STORE_TIMEOUT_MILLIS: u64 = 400;
+/// Maximum timer, in microseconds: one day; a longer one would in effect never fire.
+const MAX_TIMER_MICROS: u64 = 86_400_000_000;
 
 /// A clock that counts the time in which the VM is suspended.
 #[derive(Clone)]
@@ -37,7 +45,7 @@
 }
 
 impl GatewayClock {
-    /// The system's clock since it was booted.
+    /// Returns the system's clock, which counts from its boot.
     pub fn system() -> Self {
         Self::new(|| {
             // The call fails only where the clock does not exist: Linux has had it since 2.6.39.
@@ -45,7 +53,7 @@
         })
     }
 
-    /// A clock that `read` reads, as tests need it.
+    /// Creates a clock that calls `read`, for tests.
     ///
     /// # Examples
     /// ```
@@ -57,27 +65,27 @@
         Self(Arc::new(read))
     }
 
-    /// The time since some moment before the process began.
+    /// Returns the time since an arbitrary moment before the process began.
     pub fn read(&self) -> Duration {
         (self.0)()
     }
 }
 
-/// A moment came before what was waited for.
+/// Error of a wait whose deadline passed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TimeIsUp;
 
 impl Gateway {
-    /// When a moment comes by tokio's timers, if the VM runs on until then.
+    /// Converts a moment to tokio's clock, which is exact unless the VM is suspended before.
     pub(crate) fn instant(&self, moment: Moment) -> tokio::time::Instant {
-        let micros = moment.micros_since(self.now()).min(FAR_MICROS);
+        let micros = moment.micros_since(self.now()).min(MAX_TIMER_MICROS);
         tokio::time::Instant::now() + Duration::from_micros(micros)
     }
 
     /// Waits until a moment, also if the VM is suspended meanwhile.
     pub(crate) async fn until(&self, moment: Moment) {
         loop {
-            // Listened to before the clock is read, so that no jump in between is missed.
+            // Registered before the clock is read, so that no jump in between is missed.
             let mut jumped = pin!(self.jumped.notified());
             jumped.as_mut().enable();
             if self.now() >= moment {
@@ -90,7 +98,7 @@
         }
     }
 
-    /// What `future` gives, if it does so before `moment`.
+    /// Returns the result of `future`, or an error if `moment` passes first.
     pub(crate) async fn within<T>(
         &self,
         moment: Moment,
@@ -98,53 +106,55 @@
     ) -> Result<T, TimeIsUp> {
         tokio::select! {
             biased;
-            done = future => Ok(done),
+            result = future => Ok(result),
             () = self.until(moment) => Err(TimeIsUp),
         }
     }
 
-    /// Waits until the store was asked, if this VM came back from a suspension a moment ago.
+    /// Waits until the store has been queried, if this VM was suspended a moment ago.
     pub(crate) async fn until_fresh(&self) {
         let mut stale_until = self.stale_until.subscribe();
-        let until = *stale_until.borrow_and_update();
-        if self.now() < until {
-            let fresh = stale_until.wait_for(|until| *until == Moment(0));
-            // Answered or not, it goes on.
-            let _ = self.within(until, fresh).await;
+        let deadline = *stale_until.borrow_and_update();
+        if self.now() < deadline {
+            let is_current = stale_until.wait_for(|until| *until == Moment(0));
+            // The request proceeds with or without an answer.
+            let _ = self.within(deadline, is_current).await;
         }
     }
 
-    /// Whether the store is to be asked before beliefs are used.
+    /// Whether the store must be queried before the local state is used.
     pub(crate) fn is_stale(&self) -> bool {
         self.now() < *self.stale_until.borrow()
     }
 
-    /// Notes that what is believed is as new as the store or another VM can tell.
+    /// Records that the local state is as recent as that of others.
+    ///
+    /// It has been compared with the store or another VM.
     pub(crate) fn note_fresh(&self) {
         self.stale_until.send_if_modified(|until| std::mem::replace(until, Moment(0)) != Moment(0));
     }
 
-    fn note_jump(&self, jump: Duration) {
+    fn handle_clock_jump(&self, jump: Duration) {
         let millis = jump.as_millis() as u64;
         log::warn!(millis; "clock.jumped");
         self.pool.forget_all();
-        if millis >= STALE_MILLIS {
-            self.stale_until.send_replace(self.now().after_millis(ASK_PATIENCE_MILLIS));
+        if millis >= MIN_STALE_JUMP_MILLIS {
+            self.stale_until.send_replace(self.now().after_millis(STORE_TIMEOUT_MILLIS));
         }
         self.jumped.notify_waiters();
     }
 }
 
-/// Compares the clocks until the process ends.
+/// Compares the clocks and handles jumps, until the process ends.
 pub(crate) async fn compare_clocks(gateway: Arc<Gateway>) {
-    let (mut boot, mut steady) = (gateway.clock.read(), tokio::time::Instant::now());
+    let (mut boot, mut monotonic) = (gateway.clock.read(), tokio::time::Instant::now());
     loop {
-        tokio::time::sleep(COMPARE_PAUSE).await;
-        let (boot_now, steady_now) = (gateway.clock.read(), tokio::time::Instant::now());
-        let jump = boot_now.saturating_sub(boot).saturating_sub(steady_now - steady);
-        if jump >= JUMP_LEAST {
-            gateway.note_jump(jump);
+        tokio::time::sleep(COMPARE_INTERVAL).await;
+        let (boot_now, monotonic_now) = (gateway.clock.read(), tokio::time::Instant::now());
+        let jump = boot_now.saturating_sub(boot).saturating_sub(monotonic_now - monotonic);
+        if jump >= MIN_CLOCK_JUMP {
+            gateway.handle_clock_jump(jump);
         }
-        (boot, steady) = (boot_now, steady_now);
+        (boot, monotonic) = (boot_now, monotonic_now);
     }
 }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,7 +1,7 @@
-//! The seam to a platform: names, formats and calls, as plain structs of data and functions.
+//! Interface to a platform: names, formats and calls, as plain structs of data and functions.
 //!
-//! Invariant: a dialect translates and decides nothing. It never waits, retries or picks; each
-//! function is pure, so that a stand-in and the real platform meet the same code.
+//! Invariant: a dialect only translates. It never waits, retries or selects; each function is pure, so that a
+//! stand-in and the real platform run the same code.
 
 use crate::{
     AnswerFacts, CacheUpdate, DeploymentConfig, EndpointEntry, EngineReport, PromptSegment, RolloutOrder,
@@ -11,61 +11,61 @@
 use hyper::{Method, StatusCode};
 use std::net::SocketAddr;
 
-/// All that differs between platforms.
+/// Names, formats and calls of one platform.
 #[derive(Clone, Debug)]
 pub struct WireDialect {
     /// Names of headers.
     pub headers: HeaderNames,
-    /// Where things lie in the platform's store.
+    /// Keys and key prefixes in the platform's store.
     pub keys: StoreKeys,
-    /// Calls to the store and what their answers mean.
+    /// Calls to the store and decoders of their answers.
     pub store: StoreDialect,
-    /// Calls to engines and what their answers mean.
+    /// Calls to engines and decoders of their answers.
     pub engine: EngineDialect,
-    /// Calls that tell what is kept where, and what their answers mean.
+    /// Calls to cache stores and decoders of their answers.
     pub kept: CacheDialect,
-    /// What the store's values and the callers' headers mean.
+    /// Decoders of the store's values and of headers.
     pub decode: ValueDialect,
-    /// Path at which the balancer asks whether this VM takes connections.
+    /// Path of the balancer's readiness check.
     pub readiness_path: &'static str,
 }
 
 /// Names of headers on requests and answers.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Identity of one attempt of a caller; answers echo it.
+    /// Id of one attempt of a caller; answers repeat it.
     pub request_id: HeaderName,
-    /// Milliseconds that the caller waits; towards endpoints what is left of them.
+    /// Milliseconds that the caller waits; in requests to endpoints, the remaining ones.
     pub deadline_millis: HeaderName,
-    /// Name of the client account, set for endpoints.
+    /// Name of the client account, in requests to endpoints.
     pub account: HeaderName,
-    /// Id of the endpoint incarnation that a request is meant for.
+    /// Id of the endpoint incarnation that a request addresses.
     pub expect_endpoint: HeaderName,
-    /// The prompt's model.
+    /// Model of the prompt.
     pub model: HeaderName,
-    /// Tokens of the prompt and tokens that may be generated.
+    /// Count of prompt tokens and limit of generated tokens.
     pub token_usage: HeaderName,
-    /// The prompt's parts.
+    /// Segments of the prompt.
     pub prompt_segments: HeaderName,
-    /// Text under which an engine shares cached parts.
+    /// Cache salt: an engine shares cached segments only under the same one.
     pub cache_salt: HeaderName,
-    /// Version of the weights that a request is meant for.
+    /// Version of the weights that a request expects.
     pub expect_version: HeaderName,
-    /// Where an engine may take each part of the prompt from.
+    /// Addresses from which an engine may fetch each segment of the prompt.
     pub fetch_from: HeaderName,
-    /// Where an engine is to send each part once it is read.
+    /// Addresses to which an engine saves each segment once its prefill is done.
     pub save_to: HeaderName,
-    /// Moment on the engines' clock after which a fetch is thrown away.
+    /// Moment on the engines' clock after which a fetch is discarded.
     pub fetch_until: HeaderName,
-    /// Proof that an answer is the endpoint's own; never on answers made here.
+    /// Proof that an answer is the endpoint's own; never on answers that the gateway itself makes.
     pub seal: HeaderName,
-    /// On answers of the store: how often it has been restored from a copy.
+    /// On answers of the store: its era, the count of its restorations from a backup.
     pub store_era: HeaderName,
-    /// Headers that only this system sets towards endpoints: removed from callers' requests.
+    /// Headers that only this system sets in requests to endpoints: removed from callers' requests.
     pub system_only: Vec<HeaderName>,
 }
 
-/// Where things lie in the platform's store.
+/// Keys and key prefixes in the platform's store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreKeys {
     /// Key of the configuration.
@@ -76,20 +76,20 @@
     pub weights: &'static str,
     /// Prefix of evacuated data centres; the data centre's name follows.
     pub evacuations: &'static str,
-    /// Prefix of orders to move a service to another version; the service's name follows.
+    /// Prefix of the operator's rollout orders; the service's name follows.
     pub rollouts: &'static str,
-    /// Prefix of what operators read of such moves; the service's name follows.
+    /// Prefix of rollout statuses for operators; the service's name follows.
     pub rollout_statuses: &'static str,
 }
 
-/// One call, ready to be sent.
+/// One call in its form on the wire.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireCall {
     /// The method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Headers beside those that the body needs.
+    /// Headers except those that describe the body.
     pub headers: Vec<(HeaderName, String)>,
     /// The body, if there is one.
     pub body: Option<Vec<u8>>,
@@ -102,184 +102,185 @@
     pub items: Vec<StoreItem>,
     /// Whether more follow.
     pub more: bool,
-    /// How far the store has come.
+    /// Position of the store at the time of the listing.
     pub position: StorePosition,
 }
 
-/// What a watch brought.
+/// Result of one watch call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WatchPage {
-    /// Changes in order; none if the time was up.
+    /// Changes in order; empty after a time-out.
     pub events: Vec<StoreEvent>,
-    /// Where to go on from.
+    /// Position from which the next watch continues.
     pub position: StorePosition,
 }
 
-/// Writes that take place together if every condition holds.
+/// Writes that are applied together if every condition holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreTransaction {
-    /// Keys with their last change; none means that the key is absent.
+    /// Keys with the position of their last change; none if the key must be absent.
     pub conditions: Vec<(String, Option<StorePosition>)>,
-    /// Keys with the values to write and the lease that they live under (zero: none).
+    /// Keys with the values to write and the lease to which they are bound (zero: none).
     pub writes: Vec<(String, Vec<u8>, u64)>,
-    /// Keys to remove.
+    /// Keys to delete.
     pub removals: Vec<String>,
 }
 
-/// Why the store did not do what was asked.
+/// Reason why the store refused a call.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreRefusal {
-    /// The history that a watch needs is gone: list anew.
-    #[error("the store has forgotten the history asked for")]
+    /// The history that a watch needs has been discarded: a new listing is required.
+    #[error("the store has discarded the requested history")]
     HistoryGone,
-    /// The lease has ended.
-    #[error("the lease has ended")]
+    /// The lease has expired.
+    #[error("the lease has expired")]
     LeaseGone,
-    /// A condition does not hold; these items stand.
+    /// A condition does not hold; contains the current items of the condition's keys.
     #[error("a condition of the transaction does not hold")]
     Conflict(Vec<StoreItem>),
-    /// Nothing was done; the status tells why.
+    /// Nothing was done; contains the answer's status.
     #[error("the store answered {0}")]
     NotDone(u16),
-    /// The store has been restored from a copy since the call was made, which may have been done there.
+    /// The store was restored from a backup after the call was sent; the call may have been executed.
     #[error("the store has been restored from a copy")]
     Restored,
-    /// The answer cannot be read; the call may have been done.
-    #[error("the store's answer cannot be read: {0}")]
+    /// The answer cannot be decoded; the call may have been executed.
+    #[error("the store's answer cannot be decoded: {0}")]
     Malformed(String),
 }
 
-/// A lease of the store.
+/// Lease granted by the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
     /// Its id.
     pub lease: u64,
-    /// How long it holds after the call's arrival, in milliseconds.
+    /// Lifetime from the arrival of the call at the store, in milliseconds.
     pub ttl_millis: u64,
 }
 
-/// An answer of the store.
+/// Answer of the store, before decoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreReply<'a> {
     /// Its status.
     pub status: u16,
-    /// How often the store has been restored from a copy.
+    /// Era of the store: counts its restorations from a backup.
     pub era: u64,
     /// Its body.
     pub body: &'a [u8],
 }
 
-/// Reads an answer of the store.
+/// Decoder of an answer of the store.
 pub type StoreDecoder<T> = fn(&StoreReply<'_>) -> Result<T, StoreRefusal>;
 
-/// Calls to the store and what their answers mean.
+/// Calls to the store and decoders of their answers.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreDialect {
     /// Lists the items under a prefix, after a key if one is given.
     pub range: fn(&str, Option<&str>) -> WireCall,
-    /// Reads a listing.
+    /// Decodes a listing.
     pub read_range: StoreDecoder<RangePage>,
-    /// Waits for changes under a prefix after a position, for so many milliseconds at most.
+    /// Waits for changes under a prefix after a position, with a limit in milliseconds.
     pub watch: fn(&str, StorePosition, u64) -> WireCall,
-    /// Reads what a watch brought.
+    /// Decodes the answer to a watch.
     pub read_watch: StoreDecoder<WatchPage>,
     /// Runs a transaction.
     pub transact: fn(&StoreTransaction) -> WireCall,
-    /// Reads where a transaction stands.
+    /// Decodes the position of a transaction in the store's history.
     pub read_transact: StoreDecoder<StorePosition>,
-    /// Asks for a lease of so many milliseconds.
+    /// Requests a lease with a lifetime in milliseconds.
     pub grant: fn(u64) -> WireCall,
     /// Renews a lease.
     pub renew: fn(u64) -> WireCall,
-    /// Ends a lease.
+    /// Revokes a lease.
     pub end: fn(u64) -> WireCall,
-    /// Reads a grant.
+    /// Decodes a grant.
     pub read_grant: StoreDecoder<LeaseGrant>,
-    /// Reads a renewal: the milliseconds for which the lease holds on.
+    /// Decodes a renewal: the remaining lifetime of the lease in milliseconds.
     pub read_renew: StoreDecoder<u64>,
 }
 
-/// An order to an engine: the state that it should reach.
+/// Order to an engine to load a weight version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightOrder {
     /// The model.
     pub model: String,
     /// The version to load.
     pub version: u64,
-    /// The VM that gives the order.
+    /// Name of the VM that gives the order.
     pub holder: String,
-    /// Its fencing token.
+    /// Fencing token of that VM.
     pub fencing: u64,
-    /// Orders that the engine should have taken before.
+    /// Count of orders that the engine must have taken before.
     pub orders_taken: u64,
 }
 
-/// What an engine made of an order.
+/// Answer of an engine to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is under way.
+    /// The load has started.
     Accepted,
-    /// It holds already.
+    /// The engine has these weights already.
     Holds,
-    /// Another is under way, or the count of orders differs.
+    /// Another load is in progress, or the count of orders differs.
     Conflict,
-    /// The engine is not the one that was meant, or does not take it.
+    /// The engine is not the addressed one, or refuses the order; contains the answer's status.
     Refused(u16),
 }
 
-/// Calls to engines and what their answers mean.
+/// Calls to engines and decoders of their answers.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineDialect {
-    /// Asks an engine for its state.
+    /// Requests an engine's state.
     pub report: fn() -> WireCall,
-    /// Reads an engine's state.
+    /// Decodes an engine's state.
     pub read_report: fn(&[u8]) -> Result<EngineReport, EntryError>,
-    /// Gives an order.
+    /// Sends an order.
     pub order: fn(&WeightOrder) -> WireCall,
-    /// Reads the answer to an order from its status.
+    /// Decodes the answer to an order from its status.
     pub read_order: fn(u16) -> OrderOutcome,
 }
 
-/// Calls that tell what is kept where, and what their answers mean.
+/// Calls to cache stores and decoders of their answers.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheDialect {
-    /// Asks for changes from a position on, held back until there are some or so many milliseconds
-    /// are over.
+    /// Requests changes from a position on: a long poll with a maximum duration in milliseconds.
     pub events: fn(u64, u64) -> WireCall,
-    /// Reads changes.
+    /// Decodes changes.
     pub read_events: fn(&[u8]) -> Result<CacheUpdate, String>,
-    /// Asks for all that is held.
+    /// Requests the full cache index.
     pub list: fn() -> WireCall,
-    /// Reads all that is held.
+    /// Decodes the full cache index.
     pub read_list: fn(&[u8]) -> Result<CacheUpdate, String>,
-    /// Frees parts, given as salt and part, if the store's incarnation is still the given one.
+    /// Releases segments if the store's incarnation is still the given one.
+    ///
+    /// Each segment is given with its cache salt.
     pub free: fn(&[(String, String)], u64) -> WireCall,
-    /// Writes one address for each part of a prompt, where there is one.
+    /// Encodes one optional address for each segment of a prompt.
     pub segment_addresses: fn(&[Option<SocketAddr>]) -> String,
 }
 
-/// Why an endpoint's entry, or what it says of itself, names no endpoint to use.
+/// Reason why an endpoint's entry or report is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
-    /// Its bytes have no form at all.
-    #[error("the bytes cannot be read: {0}")]
+    /// The bytes cannot be parsed.
+    #[error("the bytes cannot be parsed: {0}")]
     Bytes(String),
     /// A field is missing or of another type.
     #[error("a field is missing or of another type: {0}")]
     Field(String),
-    /// It states what this system does not know.
+    /// The state is unknown to this system.
     #[error("unknown state `{0}`")]
     State(String),
-    /// Its start is no whole number of milliseconds.
-    #[error("the start is no whole number of milliseconds")]
+    /// The start time is not a whole number of milliseconds.
+    #[error("the start time is not a whole number of milliseconds")]
     Born,
-    /// The time for which it is cold is less than none.
-    #[error("the time for which it is cold is less than none")]
+    /// The remaining cold time is negative.
+    #[error("the remaining cold time is negative")]
     Cold,
 }
 
 impl EntryError {
-    /// A word for metrics.
+    /// Returns the label for metrics.
     ///
     /// # Examples
     /// ```
@@ -296,27 +297,27 @@
     }
 }
 
-/// What the store's values, and headers of callers and endpoints, mean.
+/// Decoders of the store's values, and of headers of callers and endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct ValueDialect {
-    /// Reads a configuration; on faults, all of them.
+    /// Decodes a configuration; the error lists all faults.
     pub configuration: fn(&[u8]) -> Result<DeploymentConfig, Vec<String>>,
-    /// Reads the entry of the endpoint with the given id.
+    /// Decodes the entry of the endpoint with the given id.
     pub endpoint: fn(&str, &[u8]) -> Result<EndpointEntry, EntryError>,
-    /// Reads a weight target.
+    /// Decodes a weight target.
     pub weights: fn(&[u8]) -> Result<WeightTarget, String>,
-    /// Reads an order to move a service to another version.
+    /// Decodes an order to roll out a version of a service.
     pub rollout: fn(&[u8]) -> Result<RolloutOrder, String>,
-    /// Writes what operators read of such a move: how far it has come, and to which version.
+    /// Encodes the status of a rollout for operators: its phase and its target version.
     pub rollout_status: fn(RolloutPhase, &str) -> Vec<u8>,
-    /// Reads the prompt's parts from their header.
+    /// Decodes the segments of a prompt from their header.
     pub prompt_segments: fn(&str) -> Option<Vec<PromptSegment>>,
-    /// Reads tokens of the prompt and tokens that may be generated.
+    /// Decodes the count of prompt tokens and the limit of generated tokens.
     pub token_usage: fn(&str) -> Option<(u32, u32)>,
     /// Decodes the head of an endpoint's answer.
     pub answer: fn(StatusCode, &HeaderMap) -> AnswerFacts,
-    /// Reads the newest version of weights that whole events of a stream tell, if any does.
+    /// Decodes the newest weight version that whole events of a stream report, if any does.
     pub event_weights: fn(&[u8]) -> Option<u64>,
-    /// The caller's key in an authorization header.
+    /// Returns the caller's key in an authorization header.
     pub caller_key: fn(&str) -> Option<&str>,
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one gateway share.
+//! State that the tasks of one gateway share, and operations on it.
 
 use crate::PeerTable;
 use crate::clock::GatewayClock;
@@ -12,7 +12,7 @@
 use crate::peers::placed_note::PlacedNote;
 use crate::peers::relayed_news::RelayedNews;
 use crate::peers::waiting_notes::WaitingNotes;
-use crate::quarantine::quarantine_desk::QuarantineDesk;
+use crate::quarantine::quarantine_desk::QuarantineTracker;
 use crate::requests::share_desk::ShareDesk;
 use crate::store::CopyDesk;
 use crate::store::store_era::StoreEra;
@@ -29,20 +29,22 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// Entries that lapsed while the store was in trouble return within two seconds after it (the users'
-/// letter); until this long after the last failed call, in milliseconds, they are held.
-const RETURN_MILLIS: u64 = 2_300;
-/// A failed call counts as trouble for this long, in milliseconds: where only some calls fail, this
-/// VM's next failure may come late.
-const TROUBLE_MILLIS: u64 = 3_500;
-/// The shortest hold, in milliseconds: below the time for which leaving endpoints may get work.
-const RETURN_LEAST_MILLIS: u64 = 1_500;
-/// The process's start in its own count of time, in microseconds. What others tell of lies before it at times, and
-/// must have a place there: with a count from zero, it would be taken for as late as the start. A day is far more than
-/// any age that matters.
-const START_MICROS: u64 = 86_400_000_000;
-
-/// How a send went, and which VM says so.
+/// Retention of vanished entries after a failed call to the store, in milliseconds:
+/// entries that expired while the store was failing must return within two seconds after that.
+const ENTRY_GRACE_MILLIS: u64 = 2_300;
+/// Time after a failed call for which the store counts as failing, in milliseconds: if only some calls fail,
+/// this VM's next failure may come late.
+const STORE_FAILURE_MILLIS: u64 = 3_500;
+/// Minimum time for which a vanished entry is retained, in milliseconds: less than the time for which
+/// departing endpoints may get work.
+const MIN_ENTRY_GRACE_MILLIS: u64 = 1_500;
+/// Moment of the process's start, in microseconds: one day, which is far above any age that matters.
+///
+/// Other VMs report moments before the start, too. If moments counted from zero, these would be clamped to
+/// the start.
+const START_OFFSET_MICROS: u64 = 86_400_000_000;
+
+/// Report of a send, with the VM that reported it.
 pub(crate) type TellerReport = (VmKey, SendReport);
 
 /// State that the tasks of one gateway share.
@@ -51,89 +53,92 @@
     pub settings: GatewaySettings,
     pub dialect: WireDialect,
     pub clock: GatewayClock,
-    /// What the clock showed at the process's start.
+    /// Reading of the clock at the process's start.
     origin: Duration,
-    /// Wakes what waits until a moment, when the VM has been suspended.
+    /// Wakes tasks that wait until a moment, after a suspension of the VM.
     pub jumped: Notify,
-    /// Whether this VM and the others know the same list of VMs.
+    /// Whether this VM and the others have the same list of VMs.
     list_standing: Mutex<ListMembership>,
-    /// Until when requests wait for the store to be asked, after a suspension; zero once that is done.
+    /// Deadline until which requests wait for a query of the store after a suspension; zero once it is done.
     pub stale_until: watch::Sender<Moment>,
     routes: RwLock<Option<Arc<RouteTable>>>,
     table: Mutex<FleetTable>,
     budget: Mutex<RetryBudget>,
-    /// What was named for each model, by the digest of its name: other VMs tell of models too that this one
-    /// has not read of in the store.
+    /// Published versions by the digest of the model's name.
+    ///
+    /// Other VMs also report models that this one has not read from the store.
     weights: RwLock<BTreeMap<u64, PublishedWeights>>,
     peers: Mutex<PeerTable>,
-    /// The engines' clock in milliseconds, and when it was told.
+    /// The engines' clock in milliseconds, and when it was received.
     engine_clock: Mutex<Option<(u64, Moment)>>,
     pub pool: EndpointPool,
     pub metrics: GatewayMetrics,
-    /// Wakes the task that tells peers of new loads.
+    /// Wakes the task that sends changed loads to peers.
     pub loads_changed: Notify,
-    /// Wakes the task that tells peers what stores of kept cache hold.
+    /// Wakes the task that sends changes of cache indexes to peers.
     pub kept_changed: Notify,
-    /// Placements that peers have not been told.
+    /// Placements to send to the VMs of this data centre.
     pub near_notes: WaitingNotes<PlacedNote>,
-    /// Placements that other data centres have not been told: those of this VM and of the ones beside it.
+    /// Placements of the VMs of this data centre, to send to other data centres.
     pub far_notes: WaitingNotes<PlacedNote>,
-    /// Placements of other data centres that the VMs of this one have not been told, while this VM leads.
+    /// Placements of other data centres, to relay locally while this VM leads.
     pub passed_notes: WaitingNotes<PlacedNote>,
-    /// Digests of the VMs of this data centre that wait to be passed on, while this VM leads.
+    /// Digests of the VMs of this data centre, to relay while this VM leads.
     pub relay: DigestRelay,
-    /// How sends went that the VMs of this data centre have not been told.
+    /// Reports of sends, to send to the VMs of this data centre.
     pub near_reports: WaitingNotes<TellerReport>,
-    /// The same for other data centres: of endpoints of this one, by its VMs.
+    /// Reports of sends, to send to other data centres.
+    ///
+    /// They are by VMs of this data centre, about its own endpoints.
     pub far_reports: WaitingNotes<TellerReport>,
-    /// The same of other data centres, while this VM leads.
+    /// Reports of other data centres, to relay locally while this VM leads.
     pub passed_reports: WaitingNotes<TellerReport>,
-    /// Requests under which endpoints end.
-    pub desk: Mutex<QuarantineDesk>,
-    /// This VM's part of what endpoints take that take few requests, and who waits for it.
+    /// Requests that crash endpoints.
+    pub quarantine_tracker: Mutex<QuarantineTracker>,
+    /// This VM's share of endpoints that take few requests, and its queue.
     pub shares: ShareDesk,
-    /// What is held for callers that send or read slowly.
+    /// Bytes buffered for callers that send or read slowly.
     pub memory: MemoryDesk,
-    /// Which news of others this VM has passed on.
+    /// Messages of other VMs that this VM has relayed.
     pub relayed: RelayedNews,
-    /// Moves of services to other versions.
+    /// Rollouts of services to other versions.
     pub rollouts: Mutex<RolloutTable>,
-    /// What endpoints stated in answers that the VMs of this data centre have not received.
+    /// Statements of endpoints in answers, to send to the VMs of this data centre.
     pub near_answers: WaitingNotes<ObservedAnswer>,
-    /// The same for other data centres.
+    /// Statements of endpoints in answers, to send to other data centres.
     pub far_answers: WaitingNotes<ObservedAnswer>,
-    /// The same of other data centres, while this VM leads.
+    /// Statements from other data centres, to relay locally while this VM leads.
     pub passed_answers: WaitingNotes<ObservedAnswer>,
-    /// Wakes the task that judges requests.
-    pub evidence_came: Notify,
-    /// Wakes the task that writes holds into the store.
-    pub holds_changed: Notify,
-    /// What the VMs of this data centre have not been told of such requests.
+    /// Wakes the task that evaluates evidence against requests.
+    pub evidence_received: Notify,
+    /// Wakes the task that writes quarantines to the store.
+    pub quarantine_changed: Notify,
+    /// Evidence and quarantines, to send to the VMs of this data centre.
     pub near_cases: WaitingNotes<QuarantineMessage>,
-    /// The same for other data centres.
+    /// Evidence and quarantines, to send to other data centres.
     pub far_cases: WaitingNotes<QuarantineMessage>,
-    /// The same of other data centres, while this VM leads.
+    /// Evidence and quarantines of other data centres, to relay locally while this VM leads.
     pub passed_cases: WaitingNotes<QuarantineMessage>,
-    /// Sends that broke, until it is known whether their endpoints ended.
+    /// Broken sends, until it is determined whether their endpoints crashed.
     pub ends: EndWatch,
-    /// Copies of all endpoints that this VM hands out.
+    /// Snapshots of all endpoints that this VM serves to others.
     pub copies: CopyDesk,
-    /// All changes of the store up to here are applied; the default before the first listing.
+    /// Position of the store up to which all changes are applied; the default before the first listing.
     applied: Mutex<StorePosition>,
-    /// Which era of the store is known.
+    /// Newest known era of the store: it counts restorations from a backup.
     pub era: StoreEra,
-    /// Authenticates what VMs tell one another; none until the store told it.
+    /// Key that authenticates messages between VMs; none until it has been read from the store.
     peer_key: RwLock<Option<PeerKey>>,
-    /// Counts the messages to other VMs.
+    /// Sequence number of the last message to other VMs.
     pub sequence: AtomicU64,
     pub stopping: watch::Sender<bool>,
-    /// When a call to the store last failed, in microseconds; zero if none has.
-    store_trouble: AtomicU64,
+    /// Moment of the last failed call to the store, in microseconds; zero if none has failed.
+    store_failed_at: AtomicU64,
     pub open_requests: AtomicU64,
-    /// Prompts that wait here because no engine has room.
+    /// Prompts that wait at this VM because no engine has free capacity.
     pub waiting_prompts: AtomicU64,
     pub caller_connections: AtomicU64,
-    /// Incarnation of this process, never zero.
+    /// Incarnation of this process: random, never zero.
     pub incarnation: u64,
 }
 
@@ -180,7 +185,7 @@
             near_reports: WaitingNotes::default(),
             far_reports: WaitingNotes::default(),
             passed_reports: WaitingNotes::default(),
-            desk: Mutex::default(),
+            quarantine_tracker: Mutex::default(),
             shares: ShareDesk::default(),
             memory,
             relayed: RelayedNews::default(),
@@ -188,8 +193,8 @@
             near_answers: WaitingNotes::default(),
             far_answers: WaitingNotes::default(),
             passed_answers: WaitingNotes::default(),
-            evidence_came: Notify::new(),
-            holds_changed: Notify::new(),
+            evidence_received: Notify::new(),
+            quarantine_changed: Notify::new(),
             near_cases: WaitingNotes::default(),
             far_cases: WaitingNotes::default(),
             passed_cases: WaitingNotes::default(),
@@ -200,7 +205,7 @@
             peer_key: RwLock::default(),
             sequence: AtomicU64::new(0),
             stopping: watch::channel(false).0,
-            store_trouble: AtomicU64::new(0),
+            store_failed_at: AtomicU64::new(0),
             open_requests: AtomicU64::new(0),
             waiting_prompts: AtomicU64::new(0),
             caller_connections: AtomicU64::new(0),
@@ -208,91 +213,92 @@
         }
     }
 
-    /// The time, in this process's count, suspensions of the VM included.
+    /// Returns the present moment in this process's time, which includes suspensions of the VM.
     pub(crate) fn now(&self) -> Moment {
-        Moment(START_MICROS + self.clock.read().saturating_sub(self.origin).as_micros() as u64)
+        Moment(START_OFFSET_MICROS + self.clock.read().saturating_sub(self.origin).as_micros() as u64)
     }
 
-    /// Notes that a call to the store failed at `at`, here or at another VM: entries may lapse although
-    /// their endpoints live.
+    /// Records a failed call to the store, by this VM or another one.
+    ///
+    /// Entries may expire then although their endpoints run.
     pub(crate) fn note_store_trouble(&self, at: Moment) {
-        self.store_trouble.fetch_max(at.0, Ordering::Relaxed);
-        self.table().extend_grace(self.now(), at.after_millis(RETURN_MILLIS));
+        self.store_failed_at.fetch_max(at.0, Ordering::Relaxed);
+        self.table().extend_grace(self.now(), at.after_millis(ENTRY_GRACE_MILLIS));
     }
 
-    /// How long ago a call to the store failed last, in microseconds, while it counts as trouble.
+    /// Returns the microseconds since the last failed call, while the store counts as failing.
     pub(crate) fn store_trouble_age(&self) -> Option<u64> {
-        let (trouble, now) = (Moment(self.store_trouble.load(Ordering::Relaxed)), self.now());
-        let counts = trouble.0 != 0 && now < trouble.after_millis(TROUBLE_MILLIS);
-        counts.then(|| now.micros_since(trouble))
+        let (failed_at, now) = (Moment(self.store_failed_at.load(Ordering::Relaxed)), self.now());
+        let is_failing = failed_at.0 != 0 && now < failed_at.after_millis(STORE_FAILURE_MILLIS);
+        is_failing.then(|| now.micros_since(failed_at))
     }
 
-    /// Until when an entry that vanishes now is held: past if the store was well for a while.
+    /// Returns until when an entry that vanishes now is retained; zero if the store is not failing.
     pub(crate) fn hold_until(&self) -> Moment {
-        let trouble = Moment(self.store_trouble.load(Ordering::Relaxed));
+        let failed_at = Moment(self.store_failed_at.load(Ordering::Relaxed));
         let now = self.now();
-        if trouble.0 == 0 || now >= trouble.after_millis(TROUBLE_MILLIS) {
+        if failed_at.0 == 0 || now >= failed_at.after_millis(STORE_FAILURE_MILLIS) {
             return Moment(0);
         }
-        trouble.after_millis(RETURN_MILLIS).max(now.after_millis(RETURN_LEAST_MILLIS))
+        failed_at.after_millis(ENTRY_GRACE_MILLIS).max(now.after_millis(MIN_ENTRY_GRACE_MILLIS))
     }
 
-    /// The configuration in force, if one is known.
+    /// Returns the configuration in force, if there is one.
     pub(crate) fn routes(&self) -> Option<Arc<RouteTable>> {
         self.routes.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Applies a configuration newer than the one in force; returns whether it did.
     pub(crate) fn set_routes(&self, table: RouteTable) -> bool {
-        let mut held = self.routes.write().unwrap_or_else(PoisonError::into_inner);
-        if held.as_ref().is_some_and(|standing| standing.config().version >= table.config().version) {
+        let mut routes = self.routes.write().unwrap_or_else(PoisonError::into_inner);
+        if routes.as_ref().is_some_and(|current| current.config().version >= table.config().version) {
             return false;
         }
         self.table().set_services(table.config());
-        *held = Some(Arc::new(table));
+        *routes = Some(Arc::new(table));
         true
     }
 
-    /// All endpoints. Never held across a wait.
+    /// Locks the table of endpoints. Never held across a wait.
     pub(crate) fn table(&self) -> MutexGuard<'_, FleetTable> {
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The other VMs. Never held across a wait.
+    /// Locks the table of the other VMs. Never held across a wait.
     pub(crate) fn peers(&self) -> MutexGuard<'_, PeerTable> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The weight version that each model's engines should have, by the digest of the model's name.
+    /// Returns the newest published version of each model, by the digest of its name.
     pub(crate) fn weights(&self) -> BTreeMap<u64, u64> {
         let weights = self.weights.read().unwrap_or_else(PoisonError::into_inner);
-        weights.iter().filter_map(|(model, named)| Some((*model, named.newest()?))).collect()
+        weights.iter().filter_map(|(model, versions)| Some((*model, versions.newest()?))).collect()
     }
 
-    /// Takes the engines' clock from an answer that told it.
+    /// Records the engines' clock from an answer that reports it.
     pub(crate) fn set_engine_clock(&self, clock_millis: Option<u64>) {
         if let Some(clock) = clock_millis {
-            let mut known = self.engine_clock.lock().unwrap_or_else(PoisonError::into_inner);
-            *known = Some((clock, self.now()));
+            let mut engine_clock = self.engine_clock.lock().unwrap_or_else(PoisonError::into_inner);
+            *engine_clock = Some((clock, self.now()));
         }
     }
 
-    /// The engines' clock at `moment`, in milliseconds, if it is known.
+    /// Returns the engines' clock at `moment` in milliseconds, if it has been recorded.
     pub(crate) fn engine_clock_at(&self, moment: Moment) -> Option<u64> {
-        let known = *self.engine_clock.lock().unwrap_or_else(PoisonError::into_inner);
-        known.map(|(clock, at)| clock + moment.micros_since(at) / MICROS_PER_MILLI)
+        let engine_clock = *self.engine_clock.lock().unwrap_or_else(PoisonError::into_inner);
+        engine_clock.map(|(clock, received_at)| clock + moment.micros_since(received_at) / MICROS_PER_MILLI)
     }
 
-    /// Notes a placement, so that peers are told.
-    pub(crate) fn note_placed(&self, note: PlacedNote) {
-        if note.has_parts() {
-            self.near_notes.push(note.clone());
-            self.far_notes.push(note);
+    /// Records a placement for propagation to other VMs.
+    pub(crate) fn note_placed(&self, placement: PlacedNote) {
+        if placement.has_parts() {
+            self.near_notes.push(placement.clone());
+            self.far_notes.push(placement);
         }
         self.loads_changed.notify_one();
     }
 
-    /// Notes how a send went, so that peers are told if it matters to them.
+    /// Records the outcome of a send for propagation, if other VMs need it.
     pub(crate) fn record_send(&self, report: SendReport) {
         if self.table().should_propagate(&report, self.now()) {
             let report = (VmKey::of(&self.settings.name), report);
@@ -301,46 +307,48 @@
         }
     }
 
-    /// Notes how a send of a VM of this data centre went for other data centres: those in front of an endpoint know
-    /// it. Paces stay here: few prompts go far, and there are many samples.
-    pub(crate) fn report_far(&self, (teller, report): TellerReport) {
+    /// Records a local VM's send to a local endpoint for other data centres.
+    ///
+    /// The VMs beside an endpoint report it to other data centres. Slowdowns are left out: few prompts go to
+    /// other data centres, and there are many samples.
+    pub(crate) fn report_far(&self, (reporter, report): TellerReport) {
         let report = SendReport { pace: None, ..report };
-        let is_told = {
+        let should_report = {
             let table = self.table();
             let is_local = |row: &EndpointRow| row.entry.data_centre == self.settings.data_centre;
             table.row(report.key).is_some_and(is_local) && table.should_propagate(&report, self.now())
         };
-        if is_told {
-            self.far_reports.push((teller, report));
+        if should_report {
+            self.far_reports.push((reporter, report));
         }
     }
 
-    /// Takes the key that authenticates what VMs tell one another.
+    /// Records the key that authenticates messages between VMs.
     pub(crate) fn set_peer_key(&self, key: PeerKey) {
         *self.peer_key.write().unwrap_or_else(PoisonError::into_inner) = Some(key);
     }
 
-    /// The key that authenticates what VMs tell one another, if it is known.
+    /// Returns the key that authenticates messages between VMs, if it has been read.
     pub(crate) fn peer_key(&self) -> Option<PeerKey> {
         *self.peer_key.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The key under which requests are told apart; none until the deployment's secret is known.
+    /// Returns the key that identifies requests; none until the key of messages between VMs has been read.
     pub(crate) fn identity_key(&self) -> Option<IdentityKey> {
         self.peer_key().as_ref().map(IdentityKey::derive)
     }
 
-    /// A message to other VMs in its form on the wire; none while the key is not known.
+    /// Encodes and authenticates a message to other VMs; none without the key.
     pub(crate) fn seal(&self, message: &PeerMessage) -> Option<Vec<u8>> {
         message.seal(&self.peer_key()?)
     }
 
-    /// Reads a message of another VM; none if it is not authentic.
+    /// Decodes a message of another VM; none if it is not authentic.
     pub(crate) fn unseal(&self, bytes: &[u8]) -> Option<PeerMessage> {
         PeerMessage::unseal(&self.peer_key()?, bytes)
     }
 
-    /// Who sends a message, and which of its messages it is.
+    /// Returns the stamp of the next message: this VM, its incarnation and the sequence number.
     pub(crate) fn next_stamp(&self) -> PeerStamp {
         PeerStamp {
             vm: VmKey::of(&self.settings.name),
@@ -349,77 +357,78 @@
         }
     }
 
-    /// The versions that a request to `model` may start on, if one was named.
+    /// Returns the versions that a request to `model` may start on, if one is published.
     pub(crate) fn required_weights(&self, model: &str) -> Option<RequiredWeights> {
         let weights = self.weights.read().unwrap_or_else(PoisonError::into_inner);
         weights.get(&short_digest(model))?.wanted(self.settings.version_ms)
     }
 
-    /// What was named for each model, by the digest of its name.
-    pub(crate) fn namings(&self) -> BTreeMap<u64, PublishedWeights> {
+    /// Returns the published versions of each model, by the digest of its name.
+    pub(crate) fn publications(&self) -> BTreeMap<u64, PublishedWeights> {
         self.weights.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// For peers: digest of each model, each version named, and microseconds since then.
+    /// Returns model digest, version and age in microseconds of each publication.
     pub(crate) fn named_ages(&self) -> Vec<(u64, u64, u64)> {
         let now = self.now();
         let weights = self.weights.read().unwrap_or_else(PoisonError::into_inner);
-        let rows = weights.iter().flat_map(|(model, named)| {
-            let ages = named.versions().iter().map(|row| (row.version, now.micros_since(row.since)));
+        let rows = weights.iter().flat_map(|(model, versions)| {
+            let ages = versions.versions().iter().map(|row| (row.version, now.micros_since(row.since)));
             ages.map(|(version, age)| (*model, version, age))
         });
         rows.collect()
     }
 
-    /// Takes from a peer which versions have been named, and for how long.
+    /// Applies ages of publications in microseconds, by model and version.
     ///
-    /// A version that the store has not told here counts too: a listing holds each model's newest one only.
+    /// Versions that this VM has not read from the store count too: a listing contains only the newest of a
+    /// model.
     pub(crate) fn apply_named_ages(&self, ages: &[(u64, u64, u64)]) {
         let now = self.now();
         for (model, version, age) in ages {
             let since = Moment(now.0.saturating_sub(*age));
-            if self.note_named(*model, PublishedVersion { version: *version, since }, now) {
+            if self.record_published_version(*model, PublishedVersion { version: *version, since }, now) {
                 log::info!(model, version, age_ms = age / MICROS_PER_MILLI; "weights.told");
             }
         }
     }
 
-    /// Takes a version that the store has told; returns whether that is news.
+    /// Records a version read from the store; returns whether it is new.
     pub(crate) fn name_weights(&self, target: &WeightTarget) -> bool {
         let now = self.now();
-        let named = PublishedVersion { version: target.version, since: now };
-        self.note_named(short_digest(&target.model), named, now)
+        let published = PublishedVersion { version: target.version, since: now };
+        self.record_published_version(short_digest(&target.model), published, now)
     }
 
-    fn note_named(&self, model: u64, named: PublishedVersion, now: Moment) -> bool {
+    fn record_published_version(&self, model: u64, published: PublishedVersion, now: Moment) -> bool {
         let mut weights = self.weights.write().unwrap_or_else(PoisonError::into_inner);
-        weights.entry(model).or_default().note(named, self.settings.version_ms, now)
+        weights.entry(model).or_default().note(published, self.settings.version_ms, now)
     }
 
-    /// Data centres that seem to be cut off: their VMs are silent, and a send to them broke.
+    /// Returns the data centres that seem cut off: their VMs are unreachable, and a send to them broke.
     ///
-    /// Silence alone is not enough: few VMs may all be frozen while the endpoints beside them serve.
+    /// Unreachable VMs alone are not enough: all of a few VMs may be suspended while their endpoints serve.
     pub(crate) fn cut_data_centres(&self) -> Vec<String> {
         let now = self.now();
-        // Asked for each choice: most of the time no send has broken, and no VM has to be looked at.
+        // Called for each placement: mostly no send has broken, and the VMs need no check.
         if !self.table().is_any_failing(now) {
             return Vec::new();
         }
-        let silent: Vec<String> =
+        let unreachable: Vec<String> =
             self.peers().unreachable_data_centres(now).into_iter().map(str::to_owned).collect();
-        if silent.is_empty() {
-            return silent;
+        if unreachable.is_empty() {
+            return unreachable;
         }
         let table = self.table();
-        silent.into_iter().filter(|data_centre| table.is_failing(data_centre, now)).collect()
+        unreachable.into_iter().filter(|data_centre| table.is_failing(data_centre, now)).collect()
     }
 
-    /// Chooses an endpoint by what is known now.
-    pub(crate) fn place(&self, ask: &PlacementRequest<'_>) -> Option<PlacementChoice> {
-        place(&self.table(), ask, self.now())
+    /// Chooses an endpoint for a request by the present state.
+    pub(crate) fn place(&self, request: &PlacementRequest<'_>) -> Option<PlacementChoice> {
+        place(&self.table(), request, self.now())
     }
 
-    /// Whether this VM and the others know the same list of VMs. Never held across a wait.
+    /// Locks the record of whether all VMs have the same list. Never held across a wait.
     pub(crate) fn list_standing(&self) -> MutexGuard<'_, ListMembership> {
         self.list_standing.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -428,7 +437,7 @@
         self.budget.lock().unwrap_or_else(PoisonError::into_inner).count_request(service, self.now());
     }
 
-    /// Spends one second send for `service`, if this VM's part of the budget allows it.
+    /// Spends one second send for `service`, if this VM's share of the budget allows it.
     pub(crate) fn try_spend_repeat(&self, service: &str) -> bool {
         let vms = self.peers().listed_count();
         self.budget.lock().unwrap_or_else(PoisonError::into_inner).try_spend(service, vms, self.now())
@@ -438,23 +447,24 @@
         *self.stopping.borrow()
     }
 
-    /// How far the store's changes are applied here; the default before the first listing.
+    /// Returns the position up to which the store's changes are applied; the default before the first
+    /// listing.
     pub(crate) fn applied_position(&self) -> StorePosition {
         *self.applied.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that all changes of the store up to `position` are applied.
+    /// Records that all changes of the store up to `position` are applied.
     pub(crate) fn set_applied_position(&self, position: StorePosition) {
         *self.applied.lock().unwrap_or_else(PoisonError::into_inner) = position;
     }
 
-    /// Whether this VM can serve: it knows a configuration and at least one endpoint.
+    /// Whether this VM can serve: it has a configuration and at least one endpoint, and is not stopping.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_stopping() && self.routes().is_some() && self.table().rows().next().is_some()
     }
 }
 
-/// Counts one thing of the gateway, such as an open request, until it is dropped.
+/// Increments a counter of the gateway, such as of open requests, until it is dropped.
 #[derive(Debug)]
 pub(crate) struct CountGuard {
     gateway: Arc<Gateway>,
--- a/crates/gateway/src/gateway_daemon.rs
+++ b/crates/gateway/src/gateway_daemon.rs
@@ -3,7 +3,7 @@
 use crate::clock::GatewayClock;
 use crate::gateway::Gateway;
 use crate::operators::operator_port;
-use crate::orders::{free_task, naming_task, order_task};
+use crate::orders::{order_task, publication_task, release_task};
 use crate::peers::{digest_relay, gossip, kept_digest, kept_task};
 use crate::quarantine::quarantine_task;
 use crate::requests::front_door;
@@ -20,26 +20,26 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Time for the balancer to notice that this VM is not ready: it asks once a second and believes
-/// the second miss.
+/// Time in which the balancer notices that this VM is not ready: it checks once a second, and reacts to the
+/// second failed check.
 const BALANCER_DRAIN_DELAY: Duration = Duration::from_millis(2_600);
-/// Period of looking whether requests are still open at a stop.
+/// Interval between checks for open requests during a stop.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Part of the grace that is left unused, so that the process ends by itself.
+/// Unused end of the stop's grace period, so that the process exits by itself.
 const GRACE_MARGIN: Duration = Duration::from_millis(600);
-/// Period of dropping what has ended.
-const SWEEP_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between removals of expired state.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// News of the store from other VMs that wait to be taken; those beyond them are asked for.
-const NEWS_WAITING: usize = 64;
+/// Capacity of the queue of store updates from other VMs; those beyond it are dropped, and queried later.
+const MAX_PENDING_UPDATES: usize = 64;
 
-/// Why a gateway could not start.
+/// Error of a gateway that could not start.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot listen on {address}: {cause}")]
 pub struct GatewayError {
-    /// The address.
+    /// Address that the gateway could not bind.
     pub address: SocketAddr,
-    /// Why.
+    /// Error of the operating system.
     pub cause: std::io::Error,
 }
 
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct GatewayDaemon {
     gateway: Arc<Gateway>,
-    closing: watch::Sender<bool>,
+    close_connections: watch::Sender<bool>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
     addresses: [SocketAddr; 3],
 }
@@ -56,15 +56,15 @@
     /// Starts a gateway. Must be called within a tokio runtime.
     ///
     /// # Errors
-    /// If an address cannot be listened on.
+    /// Returns an error if an address cannot be bound.
     pub async fn start(settings: GatewaySettings, dialect: WireDialect) -> Result<Self, GatewayError> {
         Self::start_with_clock(settings, dialect, GatewayClock::system()).await
     }
 
-    /// The same with a clock of its own, as tests need it.
+    /// Starts a gateway with the given clock, for tests.
     ///
     /// # Errors
-    /// If an address cannot be listened on.
+    /// Returns an error if an address cannot be bound.
     pub async fn start_with_clock(
         mut settings: GatewaySettings,
         dialect: WireDialect,
@@ -76,98 +76,102 @@
         let socket = UdpSocket::bind(settings.peers)
             .await
             .map_err(|cause| GatewayError { address: settings.peers, cause })?;
-        // With port zero the system chose one, and that is the one to tell.
+        // With port zero the operating system chose a port, which other VMs need to receive.
         settings.peers = socket.local_addr().unwrap_or(settings.peers);
-        let addresses = [&callers, &readiness, &metrics].map(local);
-        // The port of messages between VMs, by TCP: large answers go there.
-        let copies = listen(settings.peers).await.inspect_err(|error| {
+        let addresses = [&callers, &readiness, &metrics].map(local_address);
+        // The port of messages between VMs, over TCP: for answers that are too large for datagrams.
+        let snapshot_listener = listen(settings.peers).await.inspect_err(|error| {
             log::warn!(cause:% = error; "copies.unavailable");
         });
         let socket = Arc::new(socket);
         let gateway = Arc::new(Gateway::new(settings, dialect, clock));
-        let closing = watch::channel(false).0;
+        let close_connections = watch::channel(false).0;
         let (orders, orders_view) = watch::channel(OrdersView::default());
         let (right, right_view) = watch::channel(OrderRight::default());
-        let (news, told) = mpsc::channel(NEWS_WAITING);
-        let share = || Arc::clone(&gateway);
+        let (updates, received_updates) = mpsc::channel(MAX_PENDING_UPDATES);
+        let handle = || Arc::clone(&gateway);
         let tasks = vec![
-            tokio::spawn(clock::compare_clocks(share())),
-            tokio::spawn(follow::follow_store(share(), Arc::clone(&socket), orders, told)),
-            tokio::spawn(kept_task::follow_stores(share())),
-            tokio::spawn(kept_digest::tell_kept(share(), Arc::clone(&socket))),
-            tokio::spawn(lease_keeper::keep_lease(share(), orders_view, right)),
-            tokio::spawn(order_task::order_weights(share(), right_view.clone())),
-            tokio::spawn(naming_task::keep_namings(share(), right_view.clone())),
-            tokio::spawn(rollout::decide_rollouts(share(), right_view.clone())),
-            tokio::spawn(quarantine_task::judge_holds(share())),
-            tokio::spawn(quarantine_task::write_holds(share())),
-            tokio::spawn(free_task::free_old_parts(share(), right_view)),
-            tokio::spawn(gossip::send_digests(share(), Arc::clone(&socket))),
-            tokio::spawn(gossip::send_far_digests(share(), Arc::clone(&socket))),
-            tokio::spawn(gossip::pass_on(share(), Arc::clone(&socket))),
-            tokio::spawn(digest_relay::relay_digests(share(), Arc::clone(&socket))),
-            tokio::spawn(gossip::receive(share(), socket, news)),
-            tokio::spawn(operator_port::serve_operators(share(), readiness, operator_port::answer_readiness)),
-            tokio::spawn(operator_port::serve_operators(share(), metrics, operator_port::answer_management)),
-            tokio::spawn(front_door::serve_callers(share(), callers, closing.subscribe())),
-            tokio::spawn(sweep(share())),
+            tokio::spawn(clock::compare_clocks(handle())),
+            tokio::spawn(follow::follow_store(handle(), Arc::clone(&socket), orders, received_updates)),
+            tokio::spawn(kept_task::follow_stores(handle())),
+            tokio::spawn(kept_digest::tell_kept(handle(), Arc::clone(&socket))),
+            tokio::spawn(lease_keeper::keep_lease(handle(), orders_view, right)),
+            tokio::spawn(order_task::order_weights(handle(), right_view.clone())),
+            tokio::spawn(publication_task::keep_publications(handle(), right_view.clone())),
+            tokio::spawn(rollout::decide_rollouts(handle(), right_view.clone())),
+            tokio::spawn(quarantine_task::evaluate_evidence(handle())),
+            tokio::spawn(quarantine_task::write_quarantines(handle())),
+            tokio::spawn(release_task::release_outdated_segments(handle(), right_view)),
+            tokio::spawn(gossip::send_digests(handle(), Arc::clone(&socket))),
+            tokio::spawn(gossip::send_far_digests(handle(), Arc::clone(&socket))),
+            tokio::spawn(gossip::pass_on(handle(), Arc::clone(&socket))),
+            tokio::spawn(digest_relay::relay_digests(handle(), Arc::clone(&socket))),
+            tokio::spawn(gossip::receive(handle(), socket, updates)),
+            tokio::spawn(operator_port::serve_operators(
+                handle(),
+                readiness,
+                operator_port::answer_readiness,
+            )),
+            tokio::spawn(operator_port::serve_operators(handle(), metrics, operator_port::answer_management)),
+            tokio::spawn(front_door::serve_callers(handle(), callers, close_connections.subscribe())),
+            tokio::spawn(sweep(handle())),
         ];
         let mut tasks = tasks;
-        if let Ok(copies) = copies {
-            tasks.push(tokio::spawn(operator_port::serve_operators(share(), copies, store::answer_copy)));
+        if let Ok(listener) = snapshot_listener {
+            tasks.push(tokio::spawn(operator_port::serve_operators(handle(), listener, store::answer_copy)));
         }
         let name = gateway.settings.name.as_str();
         log::info!(name, incarnation = gateway.incarnation; "gateway.started");
-        Ok(Self { gateway, closing, tasks, addresses })
+        Ok(Self { gateway, close_connections, tasks, addresses })
     }
 
-    /// Where callers connect.
+    /// Returns the address for callers.
     pub const fn callers(&self) -> SocketAddr {
         self.addresses[0]
     }
 
-    /// Where the balancer asks for readiness.
+    /// Returns the address for readiness checks of the balancer.
     pub const fn readiness(&self) -> SocketAddr {
         self.addresses[1]
     }
 
-    /// Where metrics are served.
+    /// Returns the address for metrics.
     pub const fn metrics(&self) -> SocketAddr {
         self.addresses[2]
     }
 
-    /// Ends all tasks at once, as a crash would.
+    /// Aborts all tasks at once, as a crash would.
     pub fn kill(&self) {
         for task in &self.tasks {
             task.abort();
         }
     }
 
-    /// Stops as planned: leaves the balancer, ends kept connections, finishes what is open.
+    /// Stops gracefully: leaves the balancer, closes idle connections, and waits for open requests.
     pub async fn stop(self) {
         let begun = Instant::now();
         let grace = Duration::from_secs(self.gateway.settings.grace_s).saturating_sub(GRACE_MARGIN);
         log::info!(name = self.gateway.settings.name.as_str(); "gateway.stopping");
         self.gateway.stopping.send_replace(true);
         tokio::time::sleep_until(begun + BALANCER_DRAIN_DELAY).await;
-        self.closing.send_replace(true);
+        self.close_connections.send_replace(true);
         loop {
             tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             let open = self.gateway.open_requests.load(Ordering::SeqCst)
                 + self.gateway.caller_connections.load(Ordering::SeqCst);
-            // A connection counts until its last answer is out, and nothing new is accepted.
+            // A connection counts until its last answer is written, and no new one is accepted.
             if open == 0 || begun.elapsed() >= grace {
                 log::info!(open; "gateway.stopped");
                 break;
             }
         }
-        // The last bytes of the last answers are still on their way out.
+        // The last bytes of the last answers may still be in transmission.
         tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         self.kill();
     }
 }
 
-fn local(listener: &TcpListener) -> SocketAddr {
+fn local_address(listener: &TcpListener) -> SocketAddr {
     listener.local_addr().unwrap_or_else(|_| SocketAddr::from(([127, 0, 0, 1], 0)))
 }
 
@@ -176,10 +180,10 @@
 }
 
 async fn sweep(gateway: Arc<Gateway>) {
-    for turn in 0.. {
-        tokio::time::sleep(SWEEP_PAUSE).await;
+    for round in 0.. {
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         let now = gateway.now();
-        gateway.repeat_answers(turn);
+        gateway.repeat_answers(round);
         store::sweep_copies(&gateway);
         gateway.metrics.memory.held_bytes.set(gateway.memory.total() as i64);
         let (swept, evacuated) = {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,14 +1,14 @@
 //! The gateway: serves callers' requests at endpoints that a platform's store lists.
 //!
-//! It knows routes, client accounts, endpoints and weights in the project's own words; a
-//! [`WireDialect`] translates a platform's names, formats and calls. Decisions are plain state
-//! machines without input or output; tasks carry them out.
+//! Routes, client accounts, endpoints and weights are independent of the platform; a [`WireDialect`]
+//! translates a platform's names, formats and calls. Decisions are plain state machines without input or
+//! output; tasks execute them.
 //!
 //! - [`GatewayDaemon`] is one running gateway.
-//! - [`DeploymentConfig`], [`EndpointEntry`], [`WeightTarget`] are what the store tells.
+//! - [`DeploymentConfig`], [`EndpointEntry`], [`WeightTarget`] are decoded from the store's values.
 //! - [`RouteTable`] finds routes and accounts; [`place`] chooses endpoints from a [`FleetTable`].
-//! - [`RetryBudget`] bounds second sends; [`WeightScheduler`] decides which engine loads weights next.
-//! - [`EventReader`] cuts streams into whole events.
+//! - [`RetryBudget`] limits second sends; [`WeightScheduler`] decides which engine loads weights next.
+//! - [`EventReader`] splits streams into whole events.
 
 mod clock;
 mod dialect;
--- a/crates/gateway/src/operators/gateway_metrics.rs
+++ b/crates/gateway/src/operators/gateway_metrics.rs
@@ -1,4 +1,4 @@
-//! The gateway's metrics, in the Prometheus text form.
+//! Metrics of the gateway in the Prometheus text format.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -7,15 +7,15 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// One label of a metric: what kind.
+/// Label `kind` of a metric.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct KindLabel {
-    /// The kind.
+    /// Value of the label.
     pub kind: String,
 }
 
 impl KindLabel {
-    /// The label of `kind`.
+    /// Creates the label with the value `kind`.
     ///
     /// # Examples
     /// ```
@@ -26,20 +26,20 @@
     }
 }
 
-/// How many endpoints get less work than others, and why.
+/// Counts of endpoints that get less work than others, by reason.
 #[derive(Debug)]
 pub(crate) struct FleetGauges {
-    /// Endpoints that VMs could not reach, and that have answered none since.
+    /// Endpoints that are suspected: VMs could not reach them, and they have answered none since.
     pub doubted_endpoints: Gauge,
-    /// Data centres whose endpoints get no work because the operator asked for that.
+    /// Data centres that the operator evacuated: their endpoints get no work.
     pub evacuated_data_centres: Gauge,
-    /// Endpoints that are cold, and bear less than warm ones.
+    /// Cold endpoints, which take less load than warm ones.
     pub cold_endpoints: Gauge,
-    /// Endpoints that name a limit.
+    /// Endpoints that reported a limit.
     pub limited_endpoints: Gauge,
-    /// Endpoints that said in an answer that they leave.
+    /// Endpoints that announced their departure in an answer.
     pub leaving_endpoints: Gauge,
-    /// Endpoints that asked this VM for a rest.
+    /// Endpoints that are backing off: they asked this VM for a backoff.
     pub resting_endpoints: Gauge,
 }
 
@@ -69,12 +69,14 @@
     }
 }
 
-/// What is held for callers that send or read slowly.
+/// Metrics of bytes buffered for callers that send or read slowly.
 #[derive(Debug)]
 pub(crate) struct MemoryMetrics {
-    /// Bytes held.
+    /// Bytes buffered now.
     pub held_bytes: Gauge,
-    /// Requests ended because they held most when memory ran out, by what they held.
+    /// Requests aborted when memory ran out, by kind of their bytes.
+    ///
+    /// These are the ones with most bytes buffered.
     pub ends: Family<KindLabel, Counter>,
 }
 
@@ -87,16 +89,16 @@
     }
 }
 
-/// Messages between VMs, by kind.
+/// Counters of messages between VMs, by kind of message.
 #[derive(Debug)]
 pub(crate) struct PeerCounters {
-    /// Messages of other VMs.
+    /// Messages received from other VMs.
     pub messages: Family<KindLabel, Counter>,
-    /// Their bytes.
+    /// Bytes of these messages.
     pub bytes: Family<KindLabel, Counter>,
     /// Bytes of messages to other VMs.
     pub bytes_sent: Family<KindLabel, Counter>,
-    /// Messages to other VMs that the system did not take: too large, or no way there.
+    /// Messages to other VMs that the operating system refused: too large, or no route.
     pub unsent: Family<KindLabel, Counter>,
 }
 
@@ -130,40 +132,40 @@
     pub prompt_tokens: Counter,
     pub kept_tokens: Counter,
     pub configuration_version: Gauge,
-    /// Revision of the store up to which all changes are applied.
+    /// Revision of the store up to which this VM has applied all changes.
     pub store_revision: Gauge,
-    /// How often the store has been restored from a copy.
+    /// Era of the store: counts its restorations from a backup.
     pub store_era: Gauge,
-    /// Answers of the store whose era was no number, or over.
+    /// Answers of the store with an invalid era, or a lower one than the current.
     pub odd_eras: Family<KindLabel, Counter>,
-    /// Newest revision of the store that this VM was told of; beyond `store_revision` it lacks changes.
+    /// Newest revision of the store that was reported to this VM; beyond `store_revision` it lacks changes.
     pub told_revision: Gauge,
-    /// Messages between VMs.
+    /// Counters of messages between VMs.
     pub peers: PeerCounters,
     pub open_requests: Gauge,
-    /// Entries of endpoints that could not be read, by cause.
+    /// Endpoint entries that could not be decoded, by cause.
     pub unreadable_entries: Family<KindLabel, Counter>,
-    /// Requests that were at an endpoint's end, by who says so: this VM or another one.
+    /// Requests that an endpoint had when it crashed, by reporter: this VM or another one.
     pub quarantine_reports: Family<KindLabel, Counter>,
-    /// Holds, by what became of them here.
+    /// Quarantines of requests, by change at this VM.
     pub quarantine_holds: Family<KindLabel, Counter>,
-    /// Requests that this VM turned away because endpoints end under them.
+    /// Requests that this VM refused because endpoints crash while serving them.
     pub turned_away: Counter,
-    /// Requests that are held back now.
+    /// Requests that are quarantined now.
     pub held_requests: Gauge,
-    /// Limits that endpoints named in answers to this VM, by what was said.
+    /// Limits that endpoints reported in answers, by kind of report.
     pub limit_reports: Family<KindLabel, Counter>,
-    /// Departures of endpoints, by source.
+    /// Departures of endpoints, by source of the announcement.
     pub departures: Family<KindLabel, Counter>,
-    /// Answers that asked for a rest, by what was said.
+    /// Answers that asked for a backoff, by kind of request.
     pub rests: Family<KindLabel, Counter>,
-    /// Copies of all endpoints that VMs asked this one for, by answer.
+    /// Snapshots of all endpoints that other VMs requested from this one, by answer.
     pub endpoint_copies: Family<KindLabel, Counter>,
-    /// What is held for callers that send or read slowly.
+    /// Metrics of bytes buffered for callers that send or read slowly.
     pub memory: MemoryMetrics,
-    /// Moves of services to other versions, by what became of them here.
+    /// Rollouts of services, by step at this VM.
     pub rollouts: Family<KindLabel, Counter>,
-    /// Endpoints that get less work than others.
+    /// Counts of endpoints that get less work than others.
     pub fleet: FleetGauges,
 }
 
@@ -268,7 +270,7 @@
         }
     }
 
-    /// The text form.
+    /// Returns all metrics in the Prometheus text format.
     pub(crate) fn encode(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
@@ -277,7 +279,9 @@
     }
 }
 
-/// From 2 ms, doubling, to about 8 s: from a plain answer to a late first event.
+/// Creates buckets from 2 ms, doubling, to about 8 s.
+///
+/// A plain answer takes the least time, a late first event the most.
 fn first_event_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.002, 2.0, 13))
 }
--- a/crates/gateway/src/operators/gateway_status.rs
+++ b/crates/gateway/src/operators/gateway_status.rs
@@ -1,4 +1,4 @@
-//! What a gateway tells operators of itself and of what it believes.
+//! State of one gateway that `/status` reports to operators.
 
 use crate::gateway::Gateway;
 use crate::rollout::RolloutStatus;
@@ -14,37 +14,37 @@
     data_centre: String,
     stopping: bool,
     open_requests: u64,
-    /// Version of the configuration in force; none until one is known.
+    /// Version of the configuration in force; none until one has been received.
     configuration: Option<u64>,
-    /// How far this VM has followed the store.
+    /// Position of the store up to which this VM has applied all changes.
     store: StorePosition,
     endpoints: usize,
-    /// Those that are cold and bear less than warm ones.
+    /// Cold endpoints, which take less load than warm ones.
     cold_endpoints: usize,
-    /// Those that name a limit.
+    /// Endpoints that reported a limit.
     limits: Vec<LimitStatus>,
-    /// Endpoints that said in an answer that they leave.
+    /// Endpoints that announced their departure in an answer.
     leaving: Vec<String>,
-    /// Endpoints that asked this VM for rest.
-    rests: Vec<RestStatus>,
-    /// Data centres whose endpoints get no work because the operator asked for that.
+    /// Endpoints that asked this VM for a backoff.
+    rests: Vec<BackoffStatus>,
+    /// Data centres that the operator evacuated: their endpoints get no work.
     evacuated: Vec<String>,
-    /// Moves of services to other versions.
+    /// Rollouts of services to other versions.
     rollouts: Vec<RolloutStatus>,
 }
 
-/// An endpoint that names a limit.
+/// Status of an endpoint that reported a limit.
 #[derive(Debug, Serialize)]
 struct LimitStatus {
     endpoint: String,
     service: String,
-    /// Requests a second that it named.
+    /// Reported limit, in requests per second.
     named_per_s: f64,
-    /// Requests a second that all VMs together send it: more than it named once nobody has heard it for long.
+    /// Limit of all VMs together, in requests per second: above the reported one once that is old.
     kept_per_s: f64,
-    /// This VM's part of them.
+    /// This VM's share of `kept_per_s`.
     own_per_s: f64,
-    /// How long ago an answer named it, in milliseconds.
+    /// Age of the report, in milliseconds.
     reported_ago_ms: u64,
 }
 
@@ -53,28 +53,28 @@
         let report = row.limit.report()?;
         let kept_per_s = row.limit.rate(now)?;
         let terms = RateTerms::of_limit(kept_per_s);
-        let part = right.map_or(0, |right| right.part(key, &row.entry.data_centre, &terms));
+        let share = right.map_or(0, |right| right.part(key, &row.entry.data_centre, &terms));
         Some(Self {
             endpoint: row.entry.id.clone(),
             service: row.entry.service.clone(),
             named_per_s: report.per_s?,
             kept_per_s,
-            own_per_s: terms.per_s(part),
+            own_per_s: terms.per_s(share),
             reported_ago_ms: now.micros_since(report.received_at) / MICROS_PER_MILLI,
         })
     }
 }
 
-/// An endpoint that asked this VM for rest.
+/// Status of an endpoint that asked this VM for a backoff.
 #[derive(Debug, Serialize)]
-struct RestStatus {
+struct BackoffStatus {
     endpoint: String,
     service: String,
-    /// How long the rest still lasts, in milliseconds.
+    /// Remaining backoff, in milliseconds.
     left_ms: u64,
 }
 
-impl RestStatus {
+impl BackoffStatus {
     fn of(row: &EndpointRow, now: Moment) -> Option<Self> {
         let left_ms = row.rest.until(now)?.micros_since(now) / MICROS_PER_MILLI;
         let (endpoint, service) = (row.entry.id.clone(), row.entry.service.clone());
@@ -108,7 +108,7 @@
                 .filter(|(_, row)| row.has_departed)
                 .map(|(_, row)| row.entry.id.clone())
                 .collect(),
-            rests: table.rows().filter_map(|(_, row)| RestStatus::of(row, now)).collect(),
+            rests: table.rows().filter_map(|(_, row)| BackoffStatus::of(row, now)).collect(),
             evacuated: table.evacuated(now).map(str::to_owned).collect(),
             rollouts,
         }
--- a/crates/gateway/src/operators/mod.rs
+++ b/crates/gateway/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! What operators and the balancer ask of a VM.
+//! Metrics, status and listeners for operators and the balancer.
 
 pub(crate) mod gateway_metrics;
 pub(crate) mod gateway_status;
--- a/crates/gateway/src/operators/operator_port.rs
+++ b/crates/gateway/src/operators/operator_port.rs
@@ -1,6 +1,7 @@
-//! The listeners for the balancer's readiness question, for metrics, and for what operators ask of held requests.
+//! HTTP handlers for readiness checks of the balancer, metrics, status, and quarantined requests.
 //!
-//! Invariant: what changes anything is answered at the metrics address only; the readiness address is the balancer's.
+//! Invariant: requests that change state are answered at the metrics address only, since the readiness
+//! address is the balancer's.
 
 use crate::RequestKey;
 use crate::gateway::Gateway;
@@ -20,18 +21,18 @@
 use std::sync::atomic::Ordering;
 use tokio::net::TcpListener;
 
-/// Path of the list of held requests.
+/// Path of the list of quarantined requests.
 const HELD_PATH: &str = "/held";
-/// Path of what this VM tells of itself.
+/// Path of this VM's status.
 const STATUS_PATH: &str = "/status";
-/// What follows the path and a request's digest in a call that lifts its hold.
-const LIFT_WORD: &str = "lift";
+/// Last segment of the path that releases a request from quarantine, after the request's digest.
+const RELEASE_SEGMENT: &str = "lift";
 
-/// What is answered at one of the operators' addresses.
-pub(crate) type OperatorAnswer = fn(&Gateway, &Request<Incoming>) -> Response<AnswerBody>;
+/// Handler of the requests at one address for operators or the balancer.
+pub(crate) type OperatorHandler = fn(&Gateway, &Request<Incoming>) -> Response<AnswerBody>;
 
-/// Answers operators until the process ends.
-pub(crate) async fn serve_operators(gateway: Arc<Gateway>, listener: TcpListener, answer: OperatorAnswer) {
+/// Serves operators at one listener, until the process ends.
+pub(crate) async fn serve_operators(gateway: Arc<Gateway>, listener: TcpListener, answer: OperatorHandler) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
@@ -44,13 +45,13 @@
                 async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // The balancer asks again; a connection of it that broke says nothing.
+            // The balancer queries again, so a broken connection of its own is not an error.
             let _ = connection.await;
         });
     }
 }
 
-/// Answers whether this VM takes new connections, and shows its metrics.
+/// Answers readiness checks and requests for metrics.
 pub(crate) fn answer_readiness(gateway: &Gateway, request: &Request<Incoming>) -> Response<AnswerBody> {
     let path = request.uri().path();
     if path == "/metrics" {
@@ -67,30 +68,32 @@
     }
 }
 
-/// The same, tells of this VM, and lists and lifts holds.
+/// Answers requests for status, and to list and release quarantined requests.
+///
+/// All others go to [`answer_readiness`].
 pub(crate) fn answer_management(gateway: &Gateway, request: &Request<Incoming>) -> Response<AnswerBody> {
     if request.uri().path() == STATUS_PATH {
         return json_of(&GatewayStatus::of(gateway));
     }
     match (request.method(), request.uri().path().strip_prefix(HELD_PATH)) {
-        (&Method::GET, Some("")) => list_held(gateway),
-        (&Method::POST, Some(rest)) => lift_held(gateway, rest),
+        (&Method::GET, Some("")) => list_quarantined(gateway),
+        (&Method::POST, Some(path)) => release_quarantined(gateway, path),
         _ => answer_readiness(gateway, request),
     }
 }
 
-fn list_held(gateway: &Gateway) -> Response<AnswerBody> {
+fn list_quarantined(gateway: &Gateway) -> Response<AnswerBody> {
     json_of(&gateway.quarantine_rows())
 }
 
-/// Lifts the hold that `rest` of a path names, `/DIGEST/lift`.
-fn lift_held(gateway: &Gateway, rest: &str) -> Response<AnswerBody> {
-    let Some((digest, LIFT_WORD)) = rest.trim_start_matches('/').split_once('/') else {
+/// Releases the request that `path` names, `/DIGEST/lift`.
+fn release_quarantined(gateway: &Gateway, path: &str) -> Response<AnswerBody> {
+    let Some((digest, RELEASE_SEGMENT)) = path.trim_start_matches('/').split_once('/') else {
         return text(StatusCode::NOT_FOUND, "not found\n");
     };
     match digest.parse::<RequestKey>() {
         Err(error) => text(StatusCode::BAD_REQUEST, format!("{error}\n")),
-        Ok(request) if gateway.lift_hold(request) => json("{\"lifted\":true}"),
+        Ok(request) if gateway.release_request(request) => json("{\"lifted\":true}"),
         Ok(_) => text(StatusCode::NOT_FOUND, "no such hold\n"),
     }
 }
@@ -106,8 +109,8 @@
     response
 }
 
-fn text(status: StatusCode, text: impl Into<Bytes>) -> Response<AnswerBody> {
-    let mut response = Response::new(full_body(text.into()));
+fn text(status: StatusCode, body: impl Into<Bytes>) -> Response<AnswerBody> {
+    let mut response = Response::new(full_body(body.into()));
     *response.status_mut() = status;
     response
 }
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -1,5 +1,5 @@
-//! What the one VM that may order engines does.
+//! Tasks of the one VM that holds the right to order engines.
 
-pub(crate) mod free_task;
-pub(crate) mod naming_task;
 pub(crate) mod order_task;
+pub(crate) mod publication_task;
+pub(crate) mod release_task;
--- a/crates/gateway/src/orders/order_task.rs
+++ b/crates/gateway/src/orders/order_task.rs
@@ -1,7 +1,7 @@
-//! Carries out the weight desk's steps while this VM holds the right to order engines.
+//! Executes the weight scheduler's steps while this VM holds the right to order engines.
 //!
-//! Invariant: no engine's silence holds up another's order: calls to engines are under way beside one another, and
-//! each is cut when the right ends.
+//! Invariant: an unreachable engine does not delay the order to another one. Calls to engines run
+//! concurrently, and each is cancelled when the right expires.
 
 use crate::dialect::{OrderOutcome, WeightOrder};
 use crate::endpoints::answer_handler::{AnswerSource, DepartureSource};
@@ -20,118 +20,123 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// An engine that ends so soon gets no new work, in milliseconds: the longest deadline of requests that begin now. One that
-/// ends later says so in its answers when the time has come.
-const LEAVES_SOON_MILLIS: u64 = 15_000;
-/// Pause between looks while loads are under way: a part of a load's time that may be lost.
-const BUSY_PAUSE: Duration = Duration::from_millis(70);
-/// Pause between looks otherwise.
-const IDLE_PAUSE: Duration = Duration::from_millis(300);
-/// A call to an engine that takes longer has failed.
+/// Maximum reported time to an engine's stop at which it gets no new work, in milliseconds: the longest
+/// deadline of requests that begin now. An engine that stops later reports that in its answers in time.
+const MAX_DEPARTURE_DELAY_MILLIS: u64 = 15_000;
+/// Interval between steps while loads are in progress: up to this much time is lost after each load.
+const BUSY_INTERVAL: Duration = Duration::from_millis(70);
+/// Interval between steps while no load is in progress.
+const IDLE_INTERVAL: Duration = Duration::from_millis(300);
+/// Time within which an engine must answer a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// An engine that is being changed is passed over for this long after each look, in milliseconds.
-const CLOSED_MILLIS: u64 = 700;
-/// An order that was not taken is given again after this long, in milliseconds.
-const RETRY_MILLIS: u64 = 600;
+/// Time for which each step cordons an engine that is being changed, in milliseconds.
+const CORDON_MILLIS: u64 = 700;
+/// Delay before an order that was not accepted is repeated, in milliseconds.
+const RETRY_DELAY_MILLIS: u64 = 600;
 
-/// Orders engines to load the weights that were named, until the process ends.
+/// Orders engines to load published weights, until the process ends.
 pub(crate) async fn order_weights(gateway: Arc<Gateway>, right: watch::Receiver<OrderRight>) {
-    let mut work = OrderWork::new(&gateway);
+    let mut runner = OrderRunner::new(&gateway);
     let mut fencing = 0;
     loop {
-        let held = *right.borrow();
+        let order_right = *right.borrow();
         let now = gateway.now();
-        let holds = held.fencing != 0 && now >= held.from && now < held.until && !gateway.is_stopping();
-        if !holds || fencing != held.fencing {
-            fencing = if holds { held.fencing } else { 0 };
-            work = OrderWork::new(&gateway);
+        let has_right = order_right.fencing != 0
+            && now >= order_right.from
+            && now < order_right.until
+            && !gateway.is_stopping();
+        if !has_right || fencing != order_right.fencing {
+            fencing = if has_right { order_right.fencing } else { 0 };
+            runner = OrderRunner::new(&gateway);
         }
-        let pause = if holds { work.look(&gateway, &right) } else { IDLE_PAUSE };
-        tokio::time::sleep(pause).await;
+        let delay = if has_right { runner.advance(&gateway, &right) } else { IDLE_INTERVAL };
+        tokio::time::sleep(delay).await;
     }
 }
 
-/// What came of an order.
+/// Result of one order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum OrderAnswer {
-    /// The engine told.
-    Told(OrderOutcome),
-    /// It was given and not answered: it may be under way.
+enum OrderResult {
+    /// The engine answered.
+    Answered(OrderOutcome),
+    /// The order was sent and not answered: the load may be in progress.
     Unanswered,
-    /// The engine did not tell how many orders it has taken: none was given.
-    Unreached,
+    /// The engine did not report its count of orders, so no order was sent.
+    Unreachable,
 }
 
-impl OrderAnswer {
-    const fn word(self) -> &'static str {
+impl OrderResult {
+    const fn label(self) -> &'static str {
         match self {
-            Self::Told(OrderOutcome::Accepted) => "accepted",
-            Self::Told(OrderOutcome::Holds) => "holds",
-            Self::Told(OrderOutcome::Conflict) => "conflict",
-            Self::Told(OrderOutcome::Refused(_)) => "refused",
+            Self::Answered(OrderOutcome::Accepted) => "accepted",
+            Self::Answered(OrderOutcome::Holds) => "holds",
+            Self::Answered(OrderOutcome::Conflict) => "conflict",
+            Self::Answered(OrderOutcome::Refused(_)) => "refused",
             Self::Unanswered => "unanswered",
-            Self::Unreached => "unreached",
+            Self::Unreachable => "unreached",
         }
     }
 }
 
-/// An order that was given, and what came of it.
+/// An order with its result.
 #[derive(Debug)]
-struct GivenOrder {
+struct FinishedOrder {
     key: EndpointKey,
     model: String,
     version: u64,
-    answer: OrderAnswer,
+    answer: OrderResult,
 }
 
-/// The loads of one holder, with the calls that are under way for them. Dropping it cuts them.
-struct OrderWork {
-    desk: WeightScheduler,
-    orders: JoinSet<GivenOrder>,
+/// Loads that this VM orders while it holds the right, with their open calls.
+///
+/// Dropping it cancels the calls.
+struct OrderRunner {
+    scheduler: WeightScheduler,
+    orders: JoinSet<FinishedOrder>,
     reports: JoinSet<EndpointKey>,
-    /// Engines whose reports are waited for.
-    asked: HashSet<EndpointKey>,
+    /// Engines whose reports have been requested and not yet received.
+    awaited_reports: HashSet<EndpointKey>,
 }
 
-impl OrderWork {
+impl OrderRunner {
     fn new(gateway: &Gateway) -> Self {
-        let desk = WeightScheduler::new(gateway.settings.version_ms);
-        Self { desk, orders: JoinSet::new(), reports: JoinSet::new(), asked: HashSet::new() }
+        let scheduler = WeightScheduler::new(gateway.settings.version_ms);
+        Self { scheduler, orders: JoinSet::new(), reports: JoinSet::new(), awaited_reports: HashSet::new() }
     }
 
-    /// Takes what came of earlier calls and makes the next ones; gives the pause until the next look.
-    fn look(&mut self, gateway: &Arc<Gateway>, right: &watch::Receiver<OrderRight>) -> Duration {
+    /// Applies the results of earlier calls and starts the next ones; returns the delay until the next step.
+    fn advance(&mut self, gateway: &Arc<Gateway>, right: &watch::Receiver<OrderRight>) -> Duration {
         while let Some(Ok(key)) = self.reports.try_join_next() {
-            self.asked.remove(&key);
+            self.awaited_reports.remove(&key);
         }
-        while let Some(Ok(given)) = self.orders.try_join_next() {
-            self.judge(gateway, given);
+        while let Some(Ok(finished)) = self.orders.try_join_next() {
+            self.apply_result(gateway, finished);
         }
-        self.ask_reports(gateway);
-        for step in self.desk.steps(&engine_states(gateway), gateway.now()) {
+        self.query_reports(gateway);
+        for step in self.scheduler.steps(&engine_states(gateway), gateway.now()) {
             match step {
-                WeightStep::Close(key) => close_engines(gateway, &[key]),
+                WeightStep::Close(key) => cordon_engines(gateway, &[key]),
                 WeightStep::Order(key, model, version) => {
                     let (gateway, right) = (Arc::clone(gateway), right.clone());
                     self.orders.spawn(async move {
-                        let answer = give_order(&gateway, &right, key, &model, version).await;
-                        GivenOrder { key, model, version, answer }
+                        let answer = send_order(&gateway, &right, key, &model, version).await;
+                        FinishedOrder { key, model, version, answer }
                     });
                 }
             }
         }
-        let closed: Vec<_> = self.desk.closed().collect();
-        close_engines(gateway, &closed);
-        if closed.is_empty() { IDLE_PAUSE } else { BUSY_PAUSE }
+        let cordoned: Vec<_> = self.scheduler.closed().collect();
+        cordon_engines(gateway, &cordoned);
+        if cordoned.is_empty() { IDLE_INTERVAL } else { BUSY_INTERVAL }
     }
 
-    /// Asks engines whose loads may be over.
-    fn ask_reports(&mut self, gateway: &Arc<Gateway>) {
+    /// Queries engines whose loads may have finished.
+    fn query_reports(&mut self, gateway: &Arc<Gateway>) {
         let now = gateway.now();
-        for key in self.desk.finishing_loads(now) {
-            // One that leaves is not asked: what it has loaded matters no more.
-            let is_known = gateway.table().row(key).is_some_and(|row| !row.is_departing(now));
-            if is_known && self.asked.insert(key) {
+        for key in self.scheduler.finishing_loads(now) {
+            // A departing engine gets no more requests, so its weights do not matter.
+            let is_serving = gateway.table().row(key).is_some_and(|row| !row.is_departing(now));
+            if is_serving && self.awaited_reports.insert(key) {
                 let gateway = Arc::clone(gateway);
                 self.reports.spawn(async move {
                     let report = read_report(&gateway, key).await;
@@ -144,24 +149,24 @@
         }
     }
 
-    fn judge(&mut self, gateway: &Gateway, given: GivenOrder) {
-        let GivenOrder { key, model, version, answer } = given;
-        let word = answer.word();
-        gateway.metrics.orders.get_or_create(&KindLabel::new(word)).inc();
+    fn apply_result(&mut self, gateway: &Gateway, finished: FinishedOrder) {
+        let FinishedOrder { key, model, version, answer } = finished;
+        let label = answer.label();
+        gateway.metrics.orders.get_or_create(&KindLabel::new(label)).inc();
         let id = gateway.table().row(key).map(|row| row.entry.id.clone()).unwrap_or_default();
-        log::info!(endpoint = id.as_str(), model = model.as_str(), version, outcome = word; "order.given");
-        let again = gateway.now().after_millis(RETRY_MILLIS);
-        if answer == OrderAnswer::Unreached {
-            self.desk.set_aside(key, version, again);
+        log::info!(endpoint = id.as_str(), model = model.as_str(), version, outcome = label; "order.given");
+        let retry_at = gateway.now().after_millis(RETRY_DELAY_MILLIS);
+        if answer == OrderResult::Unreachable {
+            self.scheduler.set_aside(key, version, retry_at);
             return;
         }
-        self.desk.record_reached(key);
+        self.scheduler.record_reached(key);
         match answer {
-            OrderAnswer::Told(OrderOutcome::Accepted) => {}
-            OrderAnswer::Told(OrderOutcome::Holds) => {
+            OrderResult::Answered(OrderOutcome::Accepted) => {}
+            OrderResult::Answered(OrderOutcome::Holds) => {
                 gateway.table().set_weights(key, &BTreeMap::from([(model, version)]), gateway.now());
             }
-            _ => self.desk.repeat(key, version, again),
+            _ => self.scheduler.repeat(key, version, retry_at),
         }
     }
 }
@@ -172,12 +177,12 @@
     let mut states = Vec::new();
     for (key, row) in table.rows().filter(|(_, row)| !row.is_departing(now)) {
         for (model, version) in row.entry.weights.iter() {
-            let Some(named) = weights.get(&short_digest(model)) else { continue };
+            let Some(target) = weights.get(&short_digest(model)) else { continue };
             states.push(EngineState {
                 key,
                 model: model.clone(),
                 version: *version,
-                target: *named,
+                target: *target,
                 running: row.load(now).running,
             });
         }
@@ -185,11 +190,11 @@
     states
 }
 
-fn close_engines(gateway: &Gateway, keys: &[EndpointKey]) {
-    let until = gateway.now().after_millis(CLOSED_MILLIS);
+fn cordon_engines(gateway: &Gateway, keys: &[EndpointKey]) {
+    let cordoned_until = gateway.now().after_millis(CORDON_MILLIS);
     let mut table = gateway.table();
     for key in keys {
-        table.cordon_until(*key, until);
+        table.cordon_until(*key, cordoned_until);
     }
     drop(table);
     if !keys.is_empty() {
@@ -197,45 +202,46 @@
     }
 }
 
-/// Asks the engine how many orders it has taken, then gives the order.
-async fn give_order(
+/// Queries the engine for its count of taken orders, then sends the order.
+async fn send_order(
     gateway: &Gateway,
     right: &watch::Receiver<OrderRight>,
     key: EndpointKey,
     model: &str,
     version: u64,
-) -> OrderAnswer {
-    let Some(report) = read_report(gateway, key).await else { return OrderAnswer::Unreached };
-    // While an order is under way, requests may still run on what the engine had.
+) -> OrderResult {
+    let Some(report) = read_report(gateway, key).await else { return OrderResult::Unreachable };
+    // While a load is in progress, requests may still run on the engine's previous weights.
     if report.busy {
-        return OrderAnswer::Told(OrderOutcome::Conflict);
+        return OrderResult::Answered(OrderOutcome::Conflict);
     }
     if report.weights.get(model).is_some_and(|loaded| *loaded >= version) {
         gateway.table().set_weights(key, &report.weights, gateway.now());
-        return OrderAnswer::Told(OrderOutcome::Holds);
+        return OrderResult::Answered(OrderOutcome::Holds);
     }
-    let held = *right.borrow();
+    let order_right = *right.borrow();
     let now = gateway.now();
-    let leaves = gateway.table().row(key).is_none_or(|row| row.is_departing(now));
-    // Looked at anew right before the order leaves: the report may have said that the engine leaves, and the process may
-    // have stood still meanwhile.
-    if leaves || held.fencing == 0 || now < held.from || now >= held.until {
-        return OrderAnswer::Unanswered;
+    let is_departing = gateway.table().row(key).is_none_or(|row| row.is_departing(now));
+    // Checked again right before the order is sent: the report may have announced the engine's departure, and
+    // the process may have been suspended meanwhile.
+    if is_departing || order_right.fencing == 0 || now < order_right.from || now >= order_right.until {
+        return OrderResult::Unanswered;
     }
     let order = WeightOrder {
         model: model.to_owned(),
         version,
         holder: gateway.settings.name.clone(),
-        fencing: held.fencing,
+        fencing: order_right.fencing,
         orders_taken: report.orders_taken,
     };
     let call = (gateway.dialect.engine.order)(&order);
-    let answer = call_engine(gateway, key, &call, held.until).await;
-    answer.map_or(OrderAnswer::Unanswered, |(status, _)| {
-        OrderAnswer::Told((gateway.dialect.engine.read_order)(status))
+    let answer = call_engine(gateway, key, &call, order_right.until).await;
+    answer.map_or(OrderResult::Unanswered, |(status, _)| {
+        OrderResult::Answered((gateway.dialect.engine.read_order)(status))
     })
 }
 
+/// Queries an engine for its state; none without a valid report of the expected incarnation.
 pub(crate) async fn read_report(gateway: &Gateway, key: EndpointKey) -> Option<EngineReport> {
     let call = (gateway.dialect.engine.report)();
     let (status, body) = call_engine(gateway, key, &call, Moment::NEVER).await?;
@@ -243,13 +249,13 @@
         return None;
     }
     match (gateway.dialect.engine.read_report)(&body) {
-        Ok(report) if is_other_start(gateway, key, &report) => {
+        Ok(report) if is_other_incarnation(gateway, key, &report) => {
             log::info!(path = "report"; "engine.restarted");
             None
         }
         Ok(report) => {
             gateway.set_engine_clock(report.clock_millis);
-            if report.departure_delay_millis.is_some_and(|millis| millis <= LEAVES_SOON_MILLIS) {
+            if report.departure_delay_millis.is_some_and(|millis| millis <= MAX_DEPARTURE_DELAY_MILLIS) {
                 let source = AnswerSource { key, request: call.path.as_str(), sent_at: gateway.now() };
                 gateway.record_departure(&source, DepartureSource::Report);
             }
@@ -262,19 +268,20 @@
     }
 }
 
-/// Whether a report is of another start than the one that was asked, which its entry will tell: orders, weights and
-/// counts of that one are not this one's.
-fn is_other_start(gateway: &Gateway, key: EndpointKey, report: &EngineReport) -> bool {
-    let born = gateway.table().row(key).and_then(|row| row.entry.born_millis);
-    born.is_some() && report.born_millis != born
+/// Whether a report is of another incarnation than the one that was queried.
+///
+/// Its entry will report the new one. Orders, weights and counts of one incarnation do not apply to another.
+fn is_other_incarnation(gateway: &Gateway, key: EndpointKey, report: &EngineReport) -> bool {
+    let expected_start = gateway.table().row(key).and_then(|row| row.entry.born_millis);
+    expected_start.is_some() && report.born_millis != expected_start
 }
 
-/// Calls an engine on a connection of its own; the answer's status and body.
+/// Calls an engine on a connection of its own; returns the answer's status and body.
 async fn call_engine(
     gateway: &Gateway,
     key: EndpointKey,
     call: &crate::WireCall,
-    until: Moment,
+    call_deadline: Moment,
 ) -> Option<(u16, bytes::Bytes)> {
     let (id, address) = {
         let table = gateway.table();
@@ -283,12 +290,13 @@
     };
     let sent_at = gateway.now();
     let deadline = Instant::now() + CALL_TIMEOUT;
-    let deadline = if until == Moment::NEVER { deadline } else { deadline.min(gateway.instant(until)) };
+    let deadline =
+        if call_deadline == Moment::NEVER { deadline } else { deadline.min(gateway.instant(call_deadline)) };
     let mut call = call.clone();
     call.headers.push((gateway.dialect.headers.expect_endpoint.clone(), id.clone()));
     match CallLink::new(address).call(&call, deadline).await {
         Ok(reply) => {
-            // One that refuses may be another endpoint at the same address.
+            // A refusal may come from another endpoint at the same address.
             if let Some(status) = StatusCode::from_u16(reply.status).ok().filter(StatusCode::is_success) {
                 let facts = (gateway.dialect.decode.answer)(status, &reply.headers);
                 gateway.observe_answer(&AnswerSource { key, request: &call.path, sent_at }, &facts);
--- a/crates/gateway/src/quarantine/mod.rs
+++ b/crates/gateway/src/quarantine/mod.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints end.
+//! Quarantine of requests that crash endpoints.
 
 pub(crate) mod quarantine_desk;
 pub(crate) mod quarantine_task;
--- a/crates/gateway/src/quarantine/quarantine_desk.rs
+++ b/crates/gateway/src/quarantine/quarantine_desk.rs
@@ -1,11 +1,12 @@
-//! What this VM does about requests under which endpoints end: takes evidence, tells others, holds back.
+//! Tracks requests that crash endpoints: records and propagates evidence, and quarantines requests.
 //!
-//! Pattern: one prompt, sent again and again, each time to another VM, ended 15 of 18 engines within 14 seconds, since
-//! each VM saw one end of it at most. With evidence shared it is held back after three ends in a quiet fleet, 150 ms after
-//! the last became known, by each VM that knows them.
+//! Without shared evidence, one prompt that was sent again and again, each time to another VM, crashed 15 of
+//! 18 engines within 14 seconds, since each VM saw at most one of its crashes. With shared evidence each VM
+//! that has recorded three crashes quarantines the prompt 150 ms after the last report, if the fleet has no
+//! other crashes.
 //!
-//! Invariant: whoever learns something new tells it on, so that each note goes once through the leads to every VM; what
-//! was lost on the way is told again in turn.
+//! Invariant: a VM forwards each message that is new to it, so that the message reaches every VM once through
+//! the leaders; lost messages are repeated periodically.
 
 use crate::endpoints::end_watch::{BrokenSend, millis};
 use crate::gateway::Gateway;
@@ -20,20 +21,22 @@
 use std::collections::BTreeMap;
 use std::sync::{MutexGuard, PoisonError};
 
-/// Longest description of a request that is kept, in bytes.
-const LABEL_BYTES: usize = 160;
-/// Descriptions that are kept at most; with them, 0.2 MB.
-const LABELS_LIMIT: usize = 1_024;
+/// Maximum length of a request's description, in bytes; a longer one is truncated.
+const MAX_LABEL_BYTES: usize = 160;
+/// Maximum number of stored descriptions; they take 0.2 MB.
+const MAX_LABELS: usize = 1_024;
 
-/// Evidence and holds, with what operators want to know of the requests.
+/// Evidence and quarantines, with descriptions of the requests for operators.
 #[derive(Debug, Default)]
-pub(crate) struct QuarantineDesk {
+pub(crate) struct QuarantineTracker {
     pub quarantine: RequestQuarantine,
-    /// Client account, method, host and path of requests that came here, or that the store describes.
+    /// Client account, method, host and path of requests.
+    ///
+    /// This VM received them, or they are quarantined in the store.
     labels: BTreeMap<RequestKey, String>,
 }
 
-/// One row of what operators are shown.
+/// Row of the list of quarantined requests for operators.
 #[derive(Debug, Serialize)]
 pub(crate) struct QuarantineRow {
     pub digest: String,
@@ -45,130 +48,135 @@
     pub turned_away: u64,
 }
 
-impl QuarantineDesk {
-    /// Keeps a description of a request, unless there is one.
+impl QuarantineTracker {
+    /// Stores the description of a request, unless there is one.
+    ///
+    /// If there are too many, first discards those of requests without evidence or quarantine.
     pub(crate) fn describe(&mut self, request: RequestKey, label: &str) {
-        if self.labels.len() >= LABELS_LIMIT && !self.labels.contains_key(&request) {
+        if self.labels.len() >= MAX_LABELS && !self.labels.contains_key(&request) {
             let quarantine = &self.quarantine;
-            self.labels.retain(|known, _| quarantine.knows(*known));
+            self.labels.retain(|labelled, _| quarantine.knows(*labelled));
         }
-        if self.labels.len() < LABELS_LIMIT {
-            let end = (0..=LABEL_BYTES.min(label.len())).rev().find(|end| label.is_char_boundary(*end));
-            let label = &label[..end.unwrap_or(0)];
+        if self.labels.len() < MAX_LABELS {
+            let length =
+                (0..=MAX_LABEL_BYTES.min(label.len())).rev().find(|length| label.is_char_boundary(*length));
+            let label = &label[..length.unwrap_or(0)];
             self.labels.entry(request).or_insert_with(|| label.to_owned());
         }
     }
 
-    /// A request's description; empty if none is known here.
+    /// Returns a request's description; empty if this VM has none.
     pub(crate) fn label(&self, request: RequestKey) -> &str {
         self.labels.get(&request).map_or("", String::as_str)
     }
 }
 
 impl Gateway {
-    /// Evidence and holds. Never held across a wait.
-    pub(crate) fn desk(&self) -> MutexGuard<'_, QuarantineDesk> {
-        self.desk.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the evidence and the quarantines. Never held across a wait.
+    pub(crate) fn desk(&self) -> MutexGuard<'_, QuarantineTracker> {
+        self.quarantine_tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes that an endpoint ended while it had a request of this VM.
+    /// Records that an endpoint crashed while it had a request of this VM.
     pub(crate) fn take_own_report(&self, report: &CrashReport, send: &BrokenSend, endpoint: &str) {
         let now = self.now();
-        let mut desk = self.desk();
-        if !desk.quarantine.take_report(report, now) {
+        let mut tracker = self.desk();
+        if !tracker.quarantine.take_report(report, now) {
             return;
         }
-        let endings = desk.quarantine.crashes_of(report.request);
-        drop(desk);
+        let crash_count = tracker.quarantine.crashes_of(report.request);
+        drop(tracker);
         self.metrics.quarantine_reports.get_or_create(&KindLabel::new("own")).inc();
         log::warn!(request = send.request_id.as_str(), digest:% = report.request, endpoint,
-            age_ms = millis(report.age_micros), endings;
+            age_ms = millis(report.age_micros), endings = crash_count;
             "quarantine.evidence");
-        let note = QuarantineMessage::of_report(report, now);
-        self.near_cases.push(note);
-        self.far_cases.push(note);
+        let message = QuarantineMessage::of_report(report, now);
+        self.near_cases.push(message);
+        self.far_cases.push(message);
         self.loads_changed.notify_one();
-        self.evidence_came.notify_one();
+        self.evidence_received.notify_one();
     }
 
-    /// Whether one more end may be what holds a request back.
+    /// Whether one more crash may quarantine a request.
     pub(crate) fn is_close_to_hold(&self, request: RequestKey) -> bool {
         self.desk().quarantine.is_close(request)
     }
 
-    /// Judges the requests whose evidence has settled.
+    /// Evaluates the requests whose evidence is due.
     pub(crate) fn judge_requests(&self) {
         let changes = self.desk().quarantine.evaluate_due(self.now());
-        self.announce(&changes);
+        self.publish_changes(&changes);
     }
 
-    /// Notes that an endpoint ran a request to its end: it is not what endpoints end of.
+    /// Records that an endpoint completed a request: the request does not crash endpoints.
     pub(crate) fn record_answered(&self, request: RequestKey) {
         if self.desk().quarantine.record_answered(request, self.now()) {
-            let note = QuarantineMessage::Answered { request, ago_micros: 0 };
-            self.near_cases.push(note);
-            self.far_cases.push(note);
+            let message = QuarantineMessage::Answered { request, ago_micros: 0 };
+            self.near_cases.push(message);
+            self.far_cases.push(message);
         }
     }
 
-    /// Takes what the VM `teller` told; what is new goes on to those that it has not told.
+    /// Applies messages of the VM `reporter`, and queues new ones for other VMs.
+    ///
+    /// These are the VMs to which the reporter has not sent them.
     pub(crate) fn take_notes(
         &self,
-        notes: &[QuarantineMessage],
+        messages: &[QuarantineMessage],
         scope: DigestScope,
-        teller: VmKey,
-        is_lead: bool,
+        reporter: VmKey,
+        is_leader: bool,
     ) {
         let now = self.now();
-        let is_local = self.peers().is_local(teller);
-        for note in notes {
-            let (is_new, changes) = self.desk().quarantine.apply_quarantine_message(note, now);
+        let is_local = self.peers().is_local(reporter);
+        for message in messages {
+            let (is_new, changes) = self.desk().quarantine.apply_quarantine_message(message, now);
             if !is_new {
                 continue;
             }
-            if matches!(note, QuarantineMessage::Ended { .. }) {
+            if matches!(message, QuarantineMessage::Ended { .. }) {
                 self.metrics.quarantine_reports.get_or_create(&KindLabel::new("told")).inc();
-                self.evidence_came.notify_one();
+                self.evidence_received.notify_one();
             }
-            self.announce(&changes);
+            self.publish_changes(&changes);
             if scope == DigestScope::Vm && is_local {
-                self.far_cases.push(*note);
-            } else if scope == DigestScope::DataCentre && is_lead {
-                self.passed_cases.push(*note);
+                self.far_cases.push(*message);
+            } else if scope == DigestScope::DataCentre && is_leader {
+                self.passed_cases.push(*message);
             }
         }
     }
 
-    /// Notes that an endpoint's entry went although it had not said that it leaves.
-    pub(crate) fn note_lapsed(&self, ending: EndpointCrash) {
-        self.desk().quarantine.record_crash(ending);
+    /// Records that an endpoint's entry vanished without an announced departure.
+    pub(crate) fn note_lapsed(&self, crash: EndpointCrash) {
+        self.desk().quarantine.record_crash(crash);
     }
 
-    /// Takes a hold that stands in the store.
-    pub(crate) fn take_stored_hold(&self, request: RequestKey, hold: &StoredHold) {
+    /// Applies a quarantine that is in the store.
+    pub(crate) fn take_stored_hold(&self, request: RequestKey, stored: &StoredHold) {
         let changes = {
-            let mut desk = self.desk();
-            desk.describe(request, &hold.request);
-            desk.quarantine.take_stored(request, (hold.round, hold.endings), self.now())
+            let mut tracker = self.desk();
+            tracker.describe(request, &stored.request);
+            tracker.quarantine.take_stored(request, (stored.round, stored.endings), self.now())
         };
-        self.announce(&changes);
+        self.publish_changes(&changes);
     }
 
-    /// Ends a hold because operators want it; false if there is none.
-    pub(crate) fn lift_hold(&self, request: RequestKey) -> bool {
+    /// Releases a request at an operator's command; false if it is not quarantined.
+    pub(crate) fn release_request(&self, request: RequestKey) -> bool {
         let Some(round) = self.desk().quarantine.lift(request, self.now()) else { return false };
-        self.announce(&[QuarantineChange::Lifted { request, round }]);
+        self.publish_changes(&[QuarantineChange::Lifted { request, round }]);
         true
     }
 
-    /// All holds and trials, as operators see them.
+    /// Returns all requests that are or were quarantined, for operators.
     pub(crate) fn quarantine_rows(&self) -> Vec<QuarantineRow> {
         let now = self.now();
-        let desk = self.desk();
-        let rows = desk.quarantine.rows().map(|(request, row)| QuarantineRow {
+        let tracker = self.desk();
+        let rows = tracker.quarantine.rows().map(|(request, row)| QuarantineRow {
             digest: request.to_string(),
-            request: desk.label(request).to_owned(),
-            phase: phase_word(row.phase).to_owned(),
+            request: tracker.label(request).to_owned(),
+            phase: phase_label(row.phase).to_owned(),
             round: row.round,
             endings: row.endings,
             rest_s: row.until.micros_since(now) / spanfold_entity::MICROS_PER_SECOND,
@@ -177,10 +185,10 @@
         rows.collect()
     }
 
-    /// Writes down and tells what changed.
-    fn announce(&self, changes: &[QuarantineChange]) {
+    /// Logs, counts and propagates changes.
+    fn publish_changes(&self, changes: &[QuarantineChange]) {
         for change in changes {
-            let (word, request, round) = match *change {
+            let (label, request, round) = match *change {
                 QuarantineChange::Begun { request, round, verdict } => {
                     log::error!(digest:% = request, round, endings = verdict.endings, blamed = verdict.counted,
                         log_odds = verdict.log_odds, request = self.desk().label(request); "quarantine.begun");
@@ -192,37 +200,38 @@
                 }
                 QuarantineChange::Lifted { request, round } => {
                     log::warn!(digest:% = request, round; "quarantine.lifted");
-                    let note = QuarantineMessage::Lifted { request, round };
-                    self.near_cases.push(note);
-                    self.far_cases.push(note);
+                    let message = QuarantineMessage::Lifted { request, round };
+                    self.near_cases.push(message);
+                    self.far_cases.push(message);
                     ("lifted", request, round)
                 }
             };
-            self.metrics.quarantine_holds.get_or_create(&KindLabel::new(word)).inc();
-            if word == "begun" {
-                self.tell_hold(request, round);
+            self.metrics.quarantine_holds.get_or_create(&KindLabel::new(label)).inc();
+            if label == "begun" {
+                self.propagate_quarantine(request, round);
             }
         }
         if !changes.is_empty() {
-            self.holds_changed.notify_one();
+            self.quarantine_changed.notify_one();
             self.loads_changed.notify_one();
         }
     }
 
-    /// Tells others of a hold that began here: they may lack some of the evidence.
-    fn tell_hold(&self, request: RequestKey, round: u32) {
+    /// Propagates a quarantine that began at this VM: other VMs may lack some of the evidence.
+    fn propagate_quarantine(&self, request: RequestKey, round: u32) {
         let now = self.now();
         let Some(QuarantinedRequest { endings, until, .. }) = self.desk().quarantine.held(request, now)
         else {
             return;
         };
-        let note = QuarantineMessage::Held { request, round, endings, rest_micros: until.micros_since(now) };
-        self.near_cases.push(note);
-        self.far_cases.push(note);
+        let message =
+            QuarantineMessage::Held { request, round, endings, rest_micros: until.micros_since(now) };
+        self.near_cases.push(message);
+        self.far_cases.push(message);
     }
 }
 
-/// A hold as the store keeps it.
+/// Quarantine in its stored form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StoredHold {
     pub round: u32,
@@ -232,8 +241,8 @@
     pub request: String,
 }
 
-/// A word for how far a hold is.
-const fn phase_word(phase: QuarantinePhase) -> &'static str {
+/// Returns the label of a phase.
+const fn phase_label(phase: QuarantinePhase) -> &'static str {
     match phase {
         QuarantinePhase::Held => "held",
         QuarantinePhase::Trial => "trial",
--- a/crates/gateway/src/quarantine/quarantine_task.rs
+++ b/crates/gateway/src/quarantine/quarantine_task.rs
@@ -1,7 +1,9 @@
-//! Keeps holds in the platform's store, each under a lease that ends with it, so that VMs that start later know them.
+//! Evaluates evidence, and writes quarantines to the platform's store.
 //!
-//! Invariant: a key is written only over none or over an earlier hold of the same request; the store removes it by itself
-//! when the hold is over, and nobody has to live for that.
+//! VMs that start later read them there. Each is stored under a lease that expires with it.
+//!
+//! Invariant: a key is written only if it is absent or contains an earlier quarantine of the same request.
+//! The store deletes it when the quarantine ends, so no VM has to run for that.
 
 use crate::gateway::Gateway;
 use crate::operators::gateway_metrics::KindLabel;
@@ -12,67 +14,67 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Prefix of holds; the request's digest follows.
+/// Prefix of the keys of quarantines; the request's digest follows.
 pub(crate) const HOLD_PREFIX: &str = "spanfold/held/";
 
-/// Pause between looks at what is over, in milliseconds.
+/// Interval between checks for expired quarantines and due writes, in milliseconds.
 const POLL_INTERVAL_MILLIS: u64 = 500;
-/// Pause after a failed call, in milliseconds: calls are priced, refused ones too.
-const RETRY_MILLIS: u64 = 2_000;
-/// The shortest lease that is asked for, in milliseconds.
-const LEASE_LEAST_MILLIS: u64 = 1_000;
+/// Delay after a failed call, in milliseconds: calls are priced, refused ones too.
+const RETRY_DELAY_MILLIS: u64 = 2_000;
+/// Minimum lifetime of a requested lease, in milliseconds.
+const MIN_LEASE_MILLIS: u64 = 1_000;
 
-/// Judges requests when their evidence has settled, and ends holds whose time is over, until the process ends.
+/// Evaluates requests whose evidence is due, and ends expired quarantines, until the process ends.
 ///
-/// No call is made here: a store that is silent must not hold a judgement up.
-pub(crate) async fn judge_holds(gateway: Arc<Gateway>) {
-    let mut sweep_at = Moment(0);
+/// This task makes no calls: an unreachable store must not delay an evaluation.
+pub(crate) async fn evaluate_evidence(gateway: Arc<Gateway>) {
+    let mut next_sweep_at = Moment(0);
     loop {
-        let wake = gateway.desk().quarantine.next_evaluation_at().min(sweep_at);
+        let wake_at = gateway.desk().quarantine.next_evaluation_at().min(next_sweep_at);
         tokio::select! {
-            () = gateway.evidence_came.notified() => {}
-            () = gateway.until(wake) => {}
+            () = gateway.evidence_received.notified() => {}
+            () = gateway.until(wake_at) => {}
         }
         gateway.judge_requests();
-        if gateway.now() >= sweep_at {
+        if gateway.now() >= next_sweep_at {
             sweep(&gateway);
-            sweep_at = gateway.now().after_millis(POLL_INTERVAL_MILLIS);
+            next_sweep_at = gateway.now().after_millis(POLL_INTERVAL_MILLIS);
         }
     }
 }
 
 fn sweep(gateway: &Gateway) {
     let now = gateway.now();
-    let (ended, held) = {
-        let mut desk = gateway.desk();
-        let ended = desk.quarantine.sweep(now);
-        (ended, desk.quarantine.rows().filter(|(_, row)| row.phase == QuarantinePhase::Held).count())
+    let (expired, held_count) = {
+        let mut tracker = gateway.desk();
+        let expired = tracker.quarantine.sweep(now);
+        (expired, tracker.quarantine.rows().filter(|(_, row)| row.phase == QuarantinePhase::Held).count())
     };
-    gateway.metrics.held_requests.set(held as i64);
-    for (request, row) in ended {
+    gateway.metrics.held_requests.set(held_count as i64);
+    for (request, row) in expired {
         log::warn!(digest:% = request, round = row.round, turned_away = row.turned_away; "quarantine.ended");
         gateway.metrics.quarantine_holds.get_or_create(&KindLabel::new("ended")).inc();
     }
 }
 
-/// Writes holds into the store, and removes lifted ones there, until the process ends.
-pub(crate) async fn write_holds(gateway: Arc<Gateway>) {
-    let mut writer = HoldWriter { link: StoreLink::new(&gateway, "holds"), gateway };
+/// Writes quarantines to the store, and deletes released ones there, until the process ends.
+pub(crate) async fn write_quarantines(gateway: Arc<Gateway>) {
+    let mut writer = QuarantineWriter { link: StoreLink::new(&gateway, "holds"), gateway };
     loop {
         tokio::select! {
-            () = writer.gateway.holds_changed.notified() => {}
+            () = writer.gateway.quarantine_changed.notified() => {}
             () = tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MILLIS)) => {}
         }
         writer.write_due().await;
     }
 }
 
-struct HoldWriter {
+struct QuarantineWriter {
     gateway: Arc<Gateway>,
     link: StoreLink,
 }
 
-impl HoldWriter {
+impl QuarantineWriter {
     async fn write_due(&mut self) {
         loop {
             let now = self.gateway.now();
@@ -82,26 +84,27 @@
                 QuarantinePhase::Trial => true,
                 QuarantinePhase::Lifted => self.remove(request).await,
             };
-            let again = if is_done { Moment::NEVER } else { self.gateway.now().after_millis(RETRY_MILLIS) };
-            self.gateway.desk().quarantine.record_written(request, &row, again);
+            let retry_at =
+                if is_done { Moment::NEVER } else { self.gateway.now().after_millis(RETRY_DELAY_MILLIS) };
+            self.gateway.desk().quarantine.record_written(request, &row, retry_at);
         }
     }
 
-    /// Writes a hold under a lease of its own; whether it stands in the store, or a later one does.
+    /// Writes a quarantine under a lease of its own; whether it or a later one is in the store.
     async fn write(&mut self, request: RequestKey, row: &QuarantinedRequest) -> bool {
         let dialect = self.gateway.dialect.store;
-        let rest_millis = row.until.micros_since(self.gateway.now()) / MICROS_PER_MILLI;
-        let grant = (dialect.grant)(rest_millis.max(LEASE_LEAST_MILLIS));
+        let remaining_millis = row.until.micros_since(self.gateway.now()) / MICROS_PER_MILLI;
+        let grant = (dialect.grant)(remaining_millis.max(MIN_LEASE_MILLIS));
         let Some(Ok(grant)) = self.link.call("grant", &grant, dialect.read_grant).await else { return false };
         let label = self.gateway.desk().label(request).to_owned();
-        let hold = StoredHold { round: row.round, endings: row.endings, request: label };
+        let quarantine = StoredHold { round: row.round, endings: row.endings, request: label };
         // Plain structs of numbers and texts always have a JSON form.
-        let value = serde_json::to_vec(&hold).unwrap_or_default();
+        let value = serde_json::to_vec(&quarantine).unwrap_or_default();
         let key = format!("{HOLD_PREFIX}{request}");
-        let mut standing_at = None;
+        let mut stored_position = None;
         for _ in 0..2 {
             let write = StoreTransaction {
-                conditions: vec![(key.clone(), standing_at)],
+                conditions: vec![(key.clone(), stored_position)],
                 writes: vec![(key.clone(), value.clone(), grant.lease)],
                 removals: Vec::new(),
             };
@@ -112,11 +115,11 @@
                 }
                 Some(Err(StoreRefusal::Conflict(items))) => {
                     let Some(item) = items.first() else { return false };
-                    let standing = serde_json::from_slice::<StoredHold>(&item.value);
-                    if standing.is_ok_and(|standing| standing.round >= row.round) {
+                    let stored = serde_json::from_slice::<StoredHold>(&item.value);
+                    if stored.is_ok_and(|stored| stored.round >= row.round) {
                         return true;
                     }
-                    standing_at = Some(item.position);
+                    stored_position = Some(item.position);
                 }
                 _ => return false,
             }
--- a/crates/gateway/src/rollout/rollout_status.rs
+++ b/crates/gateway/src/rollout/rollout_status.rs
@@ -1,11 +1,11 @@
-//! What operators see of a roll-out at one VM.
+//! State of rollouts that one VM reports to operators.
 
 use crate::gateway::Gateway;
 use crate::{AnswerCounts, RolloutRun};
 use serde::Serialize;
 use spanfold_entity::Moment;
 
-/// A roll-out as one VM knows it.
+/// State of a rollout at one VM.
 #[derive(Debug, Serialize)]
 pub(crate) struct RolloutStatus {
     service: String,
@@ -13,7 +13,7 @@
     phase: &'static str,
     /// Share of this VM's requests that go to the new version.
     share: f64,
-    /// How long ago it was ordered, in milliseconds.
+    /// Time since the order, in milliseconds.
     ordered_ago_ms: u64,
     /// Answers of the new version.
     target_answers: CountStatus,
@@ -21,7 +21,7 @@
     other_answers: CountStatus,
 }
 
-/// Answers of one version.
+/// Counts of answers of one version.
 #[derive(Debug, Serialize)]
 struct CountStatus {
     all: u32,
@@ -36,7 +36,7 @@
 }
 
 impl RolloutStatus {
-    /// All roll-outs that a VM knows.
+    /// Returns the state of all rollouts at this VM.
     pub(crate) fn all(gateway: &Gateway) -> Vec<Self> {
         let now = gateway.now();
         gateway.rollouts().runs().map(|run| Self::of(gateway, run, now)).collect()
--- a/crates/gateway/src/rollout/rollout_task.rs
+++ b/crates/gateway/src/rollout/rollout_task.rs
@@ -1,8 +1,8 @@
-//! Decides how far roll-outs have come, while this VM holds the right to order engines.
+//! Decides the phases of rollouts, while this VM holds the right to order engines.
 //!
-//! Invariant: what is written stands under three conditions: the right is still this VM's, and neither the record nor what
-//! operators read was written by anybody else since it was read. So of two VMs that both believe to hold the right, one
-//! writes.
+//! Invariant: each write has three conditions: this VM still holds the right, and neither the record nor the
+//! operators' status was written by another VM since this one read it. So of two VMs that both assume to hold
+//! the right, only one can write.
 
 use super::RECORD_PREFIX;
 use crate::gateway::Gateway;
@@ -17,26 +17,26 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Pause between looks: a bad version gets requests for so much longer.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
-/// Pause after a call that failed: calls are priced, refused ones too.
-const FAILURE_PAUSE: Duration = Duration::from_millis(800);
+/// Interval between decisions: a bad version gets requests for up to this much longer.
+const DECISION_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay after a failed call: calls are priced, refused ones too.
+const RETRY_DELAY: Duration = Duration::from_millis(800);
 
-/// Decides until the process ends.
+/// Decides the phases of all rollouts, until the process ends.
 pub(crate) async fn decide_rollouts(gateway: Arc<Gateway>, right: watch::Receiver<OrderRight>) {
     let mut decider = RolloutDecider { link: StoreLink::new(&gateway, "rollouts"), gateway, right };
     loop {
-        let pause = decider.look().await;
-        tokio::time::sleep(pause).await;
+        let delay = decider.write_due().await;
+        tokio::time::sleep(delay).await;
     }
 }
 
-/// What is to be written of one roll-out.
+/// Record and status of one rollout that are due to be written.
 struct DueRecord {
     record: RolloutRecord,
     reason: Option<RolloutReason>,
-    record_at: Option<StorePosition>,
-    status_at: Option<StorePosition>,
+    record_position: Option<StorePosition>,
+    status_position: Option<StorePosition>,
 }
 
 struct RolloutDecider {
@@ -46,35 +46,35 @@
 }
 
 impl RolloutDecider {
-    /// Writes what is due; gives the pause until the next look.
-    async fn look(&mut self) -> Duration {
+    /// Writes due records; returns the delay until the next decision.
+    async fn write_due(&mut self) -> Duration {
         let now = self.gateway.now();
-        let right = *self.right.borrow();
-        let holds = right.fencing != 0 && now >= right.from && now < right.until;
-        if !holds || self.gateway.is_stopping() {
-            return LOOK_PAUSE;
+        let order_right = *self.right.borrow();
+        let has_right = order_right.fencing != 0 && now >= order_right.from && now < order_right.until;
+        if !has_right || self.gateway.is_stopping() {
+            return DECISION_INTERVAL;
         }
-        for due in self.due(now) {
-            if !self.write(&due, StorePosition::of_fencing(right.fencing)).await {
-                return FAILURE_PAUSE;
+        for due in self.due_records(now) {
+            if !self.write(&due, StorePosition::of_fencing(order_right.fencing)).await {
+                return RETRY_DELAY;
             }
         }
-        LOOK_PAUSE
+        DECISION_INTERVAL
     }
 
-    /// What is to be written now.
-    fn due(&self, now: Moment) -> Vec<DueRecord> {
+    /// Returns the records that are due to be written.
+    fn due_records(&self, now: Moment) -> Vec<DueRecord> {
         let gateway = &self.gateway;
-        let book = gateway.rollouts();
-        let status = gateway.dialect.decode.rollout_status;
-        let due = book.runs().filter_map(|run| {
+        let rollouts = gateway.rollouts();
+        let encode_status = gateway.dialect.decode.rollout_status;
+        let records = rollouts.runs().filter_map(|run| {
             let step = self.next_step(run, now);
             let phase = step.map_or(run.phase, |step| step.phase);
             let service = &run.order.service;
-            let known = book.statuses.get(service);
-            let is_told =
-                known.is_some_and(|known| known.value == status(phase, &run.order.target).as_slice());
-            if run.recorded == Some(phase) && is_told {
+            let stored_status = rollouts.statuses.get(service);
+            let is_status_current = stored_status
+                .is_some_and(|stored| stored.value == encode_status(phase, &run.order.target).as_slice());
+            if run.recorded == Some(phase) && is_status_current {
                 return None;
             }
             let record = RolloutRecord {
@@ -84,28 +84,34 @@
                 phase,
                 elapsed_millis: run.elapsed_millis(now),
             };
-            let record_at = book.records_at.get(service).copied();
+            let record_position = rollouts.records_at.get(service).copied();
             let reason = step.map(|step| step.reason);
-            Some(DueRecord { record, reason, record_at, status_at: known.map(|known| known.position) })
+            Some(DueRecord {
+                record,
+                reason,
+                record_position,
+                status_position: stored_status.map(|stored| stored.position),
+            })
         });
-        due.collect()
+        records.collect()
     }
 
     fn next_step(&self, run: &RolloutRun, now: Moment) -> Option<RolloutStep> {
         let table = self.gateway.table();
         let rows = || table.rows_of(&run.order.service).map(|(_, row)| row);
-        let has_target = |version: &str| *version == *run.order.target;
-        let is_in_place =
-            !run.has_others && rows().any(|row| has_target(&row.entry.version) && row.takes_work(now));
-        if is_in_place && !run.phase.is_concluded() && !run.is_withdrawn {
+        let is_target = |version: &str| *version == *run.order.target;
+        let is_complete =
+            !run.has_others && rows().any(|row| is_target(&row.entry.version) && row.takes_work(now));
+        if is_complete && !run.phase.is_concluded() && !run.is_withdrawn {
             return Some(RolloutStep { phase: RolloutPhase::Succeeded, reason: RolloutReason::InPlace });
         }
-        let old_runs = rows().any(|row| !has_target(&row.entry.version) && row.load(now).running > 0);
-        run.next_step(old_runs, now)
+        let is_old_version_busy =
+            rows().any(|row| !is_target(&row.entry.version) && row.load(now).running > 0);
+        run.next_step(is_old_version_busy, now)
     }
 
-    /// Writes one record, and what operators read of it; false if it may not have been done.
-    async fn write(&mut self, due: &DueRecord, right_at: StorePosition) -> bool {
+    /// Writes one record and its status for operators; false if the write may have failed.
+    async fn write(&mut self, due: &DueRecord, right_position: StorePosition) -> bool {
         let record = &due.record;
         let dialect = &self.gateway.dialect;
         let record_key = format!("{RECORD_PREFIX}{}", record.service);
@@ -115,9 +121,9 @@
         let status = (dialect.decode.rollout_status)(record.phase, &record.target);
         let write = StoreTransaction {
             conditions: vec![
-                (ORDERS_KEY.to_owned(), Some(right_at)),
-                (record_key.clone(), due.record_at),
-                (status_key.clone(), due.status_at),
+                (ORDERS_KEY.to_owned(), Some(right_position)),
+                (record_key.clone(), due.record_position),
+                (status_key.clone(), due.status_position),
             ],
             writes: vec![(record_key.clone(), value, 0), (status_key.clone(), status.clone(), 0)],
             removals: Vec::new(),
@@ -134,24 +140,24 @@
                 true
             }
             Some(Err(StoreRefusal::Conflict(items))) => {
-                self.reread(&record.service, &items, (&record_key, &status_key));
+                self.apply_conflict(&record.service, &items, (&record_key, &status_key));
                 false
             }
             _ => false,
         }
     }
 
-    /// Applies the items that the store holds in place of those that the write expected.
-    fn reread(&self, service: &str, items: &[StoreItem], (record_key, status_key): (&str, &str)) {
+    /// Applies the items that the store contains instead of those that the write expected.
+    fn apply_conflict(&self, service: &str, items: &[StoreItem], (record_key, status_key): (&str, &str)) {
         let find = |key: &str| items.iter().find(|item| item.key == key);
         match find(record_key) {
             Some(item) => self.gateway.record_rollout(item),
             None => drop(self.gateway.rollouts().records_at.remove(service)),
         }
-        let mut book = self.gateway.rollouts();
+        let mut rollouts = self.gateway.rollouts();
         match find(status_key) {
-            Some(item) => book.record_status(service, &item.value, item.position),
-            None => drop(book.statuses.remove(service)),
+            Some(item) => rollouts.record_status(service, &item.value, item.position),
+            None => drop(rollouts.statuses.remove(service)),
         }
     }
 }
--- a/crates/gateway/src/rollout/rollout_desk.rs
+++ b/crates/gateway/src/rollout/rollout_tracker.rs
@@ -1,6 +1,6 @@
-//! Applies what the store, answers and other VMs tell of roll-outs.
+//! Applies orders, records and evidence of rollouts from the store, answers and other VMs.
 //!
-//! Invariant: the book of roll-outs is locked before the table of endpoints, never after it.
+//! Invariant: the table of rollouts is locked before the table of endpoints, never after it.
 
 use super::versioned_send::VersionedSend;
 use crate::endpoints::answer_handler::ForwardScope;
@@ -12,26 +12,30 @@
 };
 use std::sync::{MutexGuard, PoisonError};
 
-/// A VM that has known a roll-out for less than this, in milliseconds, has just started: endpoints of other versions that it
-/// sees may have started after the roll-out's end.
-const KNOWN_MILLIS: u64 = 100;
+/// Minimum age of an order at a VM that marks endpoints departed, in milliseconds.
+///
+/// It marks those of other versions after a success. A VM that received the order later has just started: the
+/// endpoints of other versions that it sees may have started after the rollout finished.
+const MIN_OBSERVATION_MILLIS: u64 = 100;
 
 impl Gateway {
-    /// All roll-outs. Never held across a wait.
+    /// Locks the table of rollouts. Never held across a wait.
     pub(crate) fn rollouts(&self) -> MutexGuard<'_, RolloutTable> {
         self.rollouts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What all VMs together may send to a version that turns out to be bad.
+    /// Returns the bound on requests that all VMs together send to a bad version.
     pub(crate) fn exposure_terms(&self) -> ExposureTerms {
         ExposureTerms { share: self.settings.exposure_share, slack: self.settings.exposure_slack }
     }
 
-    /// Takes an order of the operator for `service`.
+    /// Applies an order of the operator for `service`.
     pub(crate) fn order_rollout(&self, service: &str, item: &StoreItem) {
         let order = (self.dialect.decode.rollout)(&item.value).and_then(|order| {
-            let names = order.service == service;
-            names.then_some(order).ok_or_else(|| "it names another service than its key".to_owned())
+            let is_same_service = order.service == service;
+            is_same_service
+                .then_some(order)
+                .ok_or_else(|| "the service in the order differs from the one in its key".to_owned())
         });
         let order = match order {
             Ok(order) => order,
@@ -46,8 +50,8 @@
         }
         let (now, target) = (self.now(), order.target.clone());
         let duration_ms = order.duration_millis;
-        let mut book = self.rollouts();
-        if !book.order(order, item.position, now) {
+        let mut rollouts = self.rollouts();
+        if !rollouts.order(order, item.position, now) {
             return;
         }
         let others = {
@@ -55,16 +59,16 @@
             let rows = table.rows_of(service).filter(|(_, row)| !row.is_departing(now));
             rows.filter(|(_, row)| *row.entry.version != *target).count()
         };
-        if let Some(run) = book.run_mut(service) {
+        if let Some(run) = rollouts.run_mut(service) {
             run.has_others = others > 0;
         }
-        drop(book);
+        drop(rollouts);
         self.count_rollout("begun");
         log::warn!(service, target = target.as_str(), duration_ms:?, others, position:% = item.position;
             "rollout.begun");
     }
 
-    /// Notes that the operator took the order for `service` back.
+    /// Records that the operator withdrew the order for `service`.
     pub(crate) fn withdraw_rollout(&self, service: &str) {
         if self.rollouts().withdraw(service) {
             self.count_rollout("withdrawn");
@@ -72,7 +76,7 @@
         }
     }
 
-    /// Takes what the deciding VM keeps in the store.
+    /// Applies a record that the deciding VM stored.
     pub(crate) fn record_rollout(&self, item: &StoreItem) {
         match serde_json::from_slice::<RolloutRecord>(&item.value) {
             Ok(record) => {
@@ -83,21 +87,21 @@
         }
     }
 
-    /// Puts a phase in force.
+    /// Applies the phase of a record, and logs it if it is new.
     pub(crate) fn apply_rollout(&self, record: &RolloutRecord) {
         let now = self.now();
-        let mut book = self.rollouts();
-        if !book.apply(record, now) {
+        let mut rollouts = self.rollouts();
+        if !rollouts.apply(record, now) {
             return;
         }
-        let Some(run) = book.run(&record.service) else { return };
+        let Some(run) = rollouts.run(&record.service) else { return };
         let (service, target) = (record.service.as_str(), record.target.as_str());
-        let was_known = now >= run.known_at.after_millis(KNOWN_MILLIS);
-        if record.phase == RolloutPhase::Succeeded && was_known {
+        let has_observed = now >= run.known_at.after_millis(MIN_OBSERVATION_MILLIS);
+        if record.phase == RolloutPhase::Succeeded && has_observed {
             self.table().leave_behind(service, target);
         }
         let counts = run.evidence.totals();
-        drop(book);
+        drop(rollouts);
         let phase = record.phase.label();
         self.count_rollout(phase);
         log::warn!(service, target, phase, elapsed_ms = record.elapsed_millis,
@@ -106,22 +110,22 @@
             other_failed = counts.other.failed, other_slow = counts.other.slow; "rollout.phase");
     }
 
-    /// Notes the version of an endpoint whose entry was written.
+    /// Records the version of an endpoint whose entry was written.
     pub(crate) fn note_version(&self, entry: &EndpointEntry) {
-        let mut book = self.rollouts();
-        if let Some(run) = book.run_mut(&entry.service) {
+        let mut rollouts = self.rollouts();
+        if let Some(run) = rollouts.run_mut(&entry.service) {
             run.has_others |= *entry.version != *run.order.target && !entry.draining;
         }
     }
 
-    /// Where a request of `service` may go, in the order of preference.
+    /// Returns the versions that a request of `service` may use, in order of preference.
     pub(crate) fn version_splits(&self, service: &str, draw: &mut TestDraw) -> Vec<VersionSplit> {
-        let mut book = self.rollouts();
-        if book.run(service).is_none() {
+        let mut rollouts = self.rollouts();
+        if rollouts.run(service).is_none() {
             return vec![VersionSplit::Any];
         }
         let now = self.now();
-        book.splits(
+        rollouts.splits(
             service,
             &self.exposure_terms(),
             draw,
@@ -130,43 +134,43 @@
         )
     }
 
-    /// The target of a roll-out of `service` that is under way.
+    /// Returns the target version of `service` while a rollout is in progress.
     pub(crate) fn rollout_target(&self, service: &str) -> Option<String> {
-        let book = self.rollouts();
-        book.run(service).filter(|run| !run.phase.is_concluded()).map(|run| run.order.target.clone())
+        let rollouts = self.rollouts();
+        rollouts.run(service).filter(|run| !run.phase.is_concluded()).map(|run| run.order.target.clone())
     }
 
-    /// Learns from how a send to an endpoint of a service that moves went.
+    /// Records the outcome of a send to an endpoint of a service with a rollout.
     pub(crate) fn observe_version(&self, send: &VersionedSend, outcome: SendOutcome) {
         let Some(answer) = send.answer(outcome) else { return };
         if self.rollouts().observe(&send.service, send.route, &answer) {
-            self.log_doubt(&send.service, "answers");
+            self.log_suspicion(&send.service, "answers");
         }
     }
 
-    /// Adds what other VMs counted, and keeps it for those to which this VM forwards it.
-    pub(crate) fn add_rollout_sums(&self, told: &[(SumKey, RouteCounts)], forward: ForwardScope) {
-        if told.is_empty() {
+    /// Adds counts of other VMs, and queues those that this VM forwards.
+    pub(crate) fn add_rollout_sums(&self, reported: &[(SumKey, RouteCounts)], forward: ForwardScope) {
+        if reported.is_empty() {
             return;
         }
-        let mut book = self.rollouts();
-        for (key, counts) in told {
+        let mut rollouts = self.rollouts();
+        for (key, counts) in reported {
             match forward {
                 ForwardScope::Nobody => {}
-                ForwardScope::Remote => book.sums.far.add(*key, *counts),
-                ForwardScope::Passed => book.sums.passed.add(*key, *counts),
+                ForwardScope::Remote => rollouts.sums.far.add(*key, *counts),
+                ForwardScope::Passed => rollouts.sums.passed.add(*key, *counts),
             }
         }
-        let suspected = book.add(told);
-        drop(book);
+        let suspected = rollouts.add(reported);
+        drop(rollouts);
         for service in suspected {
-            self.log_doubt(&service, "other VMs");
+            self.log_suspicion(&service, "other VMs");
         }
     }
 
-    fn log_doubt(&self, service: &str, source: &str) {
-        let book = self.rollouts();
-        let Some(run) = book.run(service) else { return };
+    fn log_suspicion(&self, service: &str, source: &str) {
+        let rollouts = self.rollouts();
+        let Some(run) = rollouts.run(service) else { return };
         let counts = run.evidence.totals();
         log::warn!(service, target = run.order.target.as_str(), source,
             target_answers = counts.target.answers, target_failed = counts.target.failed,
--- a/crates/gateway/src/rollout/versioned_send.rs
+++ b/crates/gateway/src/rollout/versioned_send.rs
@@ -1,19 +1,19 @@
-//! What a send tells of the version of its endpoint.
+//! Evidence that one send gives about the version of its endpoint.
 
 use crate::{EndpointRow, RolloutAnswer, SendOutcome};
 use spanfold_entity::Moment;
 
-/// A send to an endpoint of a service that moves to another version.
+/// Send to an endpoint of a service with a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct VersionedSend {
     pub service: String,
     /// Digest of the route's name.
     pub route: u64,
     is_target: bool,
-    /// Whether the endpoint was cold: the time that it takes then says nothing of its version.
+    /// Whether the endpoint was cold: its time then is no evidence about its version.
     is_cold: bool,
-    /// Pace that the expected time counted on.
-    pace: f64,
+    /// Slowdown of the endpoint that the expected time included.
+    slowdown: f64,
     time_factor: Option<f64>,
 }
 
@@ -24,19 +24,19 @@
             route,
             is_target: *row.entry.version == *target,
             is_cold: now < row.cold_until,
-            pace: row.pace(),
+            slowdown: row.pace(),
             time_factor: None,
         }
     }
 
-    /// Notes how long the first event or the answer took, where `expected_micros` was expected.
-    pub(crate) fn begin(&mut self, taken_micros: u64, expected_micros: u64) {
+    /// Records the time to the first event or the answer, relative to the expected time.
+    pub(crate) fn begin(&mut self, elapsed_micros: u64, expected_micros: u64) {
         if !self.is_cold && expected_micros > 0 {
-            self.time_factor = Some(self.pace * taken_micros as f64 / expected_micros as f64);
+            self.time_factor = Some(self.slowdown * elapsed_micros as f64 / expected_micros as f64);
         }
     }
 
-    /// What the end of the send tells; none if its endpoint did not work on it.
+    /// Returns the evidence from the send's outcome; none if its endpoint did not process it.
     pub(crate) fn answer(&self, outcome: SendOutcome) -> Option<RolloutAnswer> {
         let has_failed = match outcome {
             SendOutcome::Answered => false,
--- a/crates/gateway/tests/pages.rs
+++ b/crates/gateway/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The operators' page names every log event and metric of the gateway, and no other.
+//! Checks that the operators' page lists exactly the gateway's events, metrics and settings.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Texts of the gateway's sources, and of the daemon's main file and its logging.
+/// Returns the gateway's sources, and the daemon's main and logging files, as one text.
 fn sources() -> String {
     let folder = root().join("crates/gateway/src");
     let daemon = ["main.rs", "logging.rs"].map(|file| root().join("crates/spanfoldd/src").join(file));
@@ -16,17 +16,19 @@
     text
 }
 
-/// Whether a literal looks like an event's name: two words of small letters with a dot between.
+/// Whether a literal has the form of an event name: two lower-case identifiers separated by a dot.
 fn is_event(text: &str) -> bool {
-    let word =
-        |word: &str| !word.is_empty() && word.chars().all(|sign| sign.is_ascii_lowercase() || sign == '_');
-    text.split_once('.').is_some_and(|(one, other)| word(one) && word(other))
+    let is_identifier = |text: &str| {
+        !text.is_empty() && text.chars().all(|character| character.is_ascii_lowercase() || character == '_')
+    };
+    text.split_once('.').is_some_and(|(subject, event)| is_identifier(subject) && is_identifier(event))
 }
 
 fn page_rows(from: &str, to: &str) -> BTreeSet<String> {
     let page = std::fs::read_to_string(root().join("docs/OPERATIONS.md")).unwrap();
-    let part = page.split(from).nth(1).unwrap().split(to).next().unwrap().to_owned();
-    let rows = part.lines().filter_map(|line| line.strip_prefix("| `")?.split('`').next().map(str::to_owned));
+    let section = page.split(from).nth(1).unwrap().split(to).next().unwrap().to_owned();
+    let rows =
+        section.lines().filter_map(|line| line.strip_prefix("| `")?.split('`').next().map(str::to_owned));
     rows.collect()
 }
 
@@ -49,7 +51,7 @@
     let metrics: BTreeSet<String> = text
         .split("registry.register(")
         .skip(1)
-        .filter_map(|rest| rest.split('"').nth(1))
+        .filter_map(|call| call.split('"').nth(1))
         .map(str::to_owned)
         .collect();
     assert_eq!(page_rows("## Metrics", "## What to do when"), metrics);
@@ -71,7 +73,7 @@
 
 #[test]
 fn the_platforms_names_occur_only_in_its_folder() {
-    // Decoded once, in platform/: elsewhere the project's own words are used.
+    // Names of the platform are translated in platform/ only; other sources do not use them.
     let names = [
         "tlsKey",
         "expectedRev",
@@ -103,13 +105,13 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-fn visit(folder: &Path, look: &mut impl FnMut(&Path, &str)) {
+fn visit(folder: &Path, inspect: &mut impl FnMut(&Path, &str)) {
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            visit(&path, look);
+            visit(&path, inspect);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
-            look(&path, &std::fs::read_to_string(&path).unwrap());
+            inspect(&path, &std::fs::read_to_string(&path).unwrap());
         }
     }
 }
