--- a/crates/gateway/src/rollout/rollout_tracker.rs
+++ b/crates/gateway/src/rollout/rollout_tracker.rs
@@ -12,10 +12,10 @@
 };
 use std::sync::{MutexGuard, PoisonError};
 
-/// Minimum age of an order at a VM that marks endpoints departed, in milliseconds.
+/// Time after receiving an order from which a VM may mark endpoints departed, in milliseconds.
 ///
-/// It marks those of other versions after a success. A VM that received the order later has just started: the
-/// endpoints of other versions that it sees may have started after the rollout finished.
+/// It marks those of other versions when the rollout succeeds. A VM that received the order more recently has
+/// just started: the endpoints that it sees may have started after the rollout finished.
 const MIN_OBSERVATION_MILLIS: u64 = 100;
 
 impl Gateway {
