--- a/crates/decide/examples/placement_cost.rs
+++ b/crates/decide/examples/placement_cost.rs
@@ -5,7 +5,7 @@
 use spanfold_decide::{
     CacheChange, CacheUpdate, DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable,
     HomeRegions, LoadCount, LoadSource, PlacementRequest, PromptSegment, ServiceRow, ShareView, StoreSpec,
-    VersionSplit, VmKey, place, salt_text,
+    VersionSplit, VmKey, format_cache_salt, place,
 };
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
@@ -153,7 +153,7 @@
             data_centre: "dc-1".to_owned(),
             tokens: 1_700_000,
             link_mbps: 29_000.0,
-            first_millis: 6.0,
+            transfer_latency_millis: 6.0,
             token_bytes: 18_432,
             max_long_polls: 12,
         };
@@ -163,7 +163,7 @@
 }
 
 fn fill_stores(table: &mut FleetTable, size: FleetSize) {
-    let salt = salt_text("shared", "m", 1);
+    let salt = format_cache_salt("shared", "m", 1);
     for (index, store) in (0..size.stores).enumerate() {
         let changes = (0..size.segments).map(|segment| {
             // All stores contain the first segment; each other segment is in one store.
--- a/crates/decide/examples/share_ways.rs
+++ b/crates/decide/examples/share_ways.rs
@@ -7,7 +7,7 @@
 #[path = "../tests/shared_fleet/mod.rs"]
 mod shared_fleet;
 
-use shared_fleet::{FleetVm, Scene, ShareWay, Trouble, play};
+use shared_fleet::{InjectedFault, ShareRule, SharedEndpoint, SimulatedVm, simulate};
 use spanfold_decide::{EndpointKey, RateTerms};
 use spanfold_entity::Moment;
 
@@ -18,28 +18,28 @@
 const WINDOW_MILLIS: u64 = 4_000;
 
 /// The strategy of the gateway: shares for some VMs, by VM lists that change slowly.
-fn own_share(vm: &FleetVm, _: &Scene, now: Moment) -> u64 {
+fn own_share(vm: &SimulatedVm, _: &SharedEndpoint, now: Moment) -> u64 {
     if vm.standing.holds(now) { vm.part } else { 0 }
 }
 
 /// The same with VM lists of any age, also before other VMs list this VM.
-fn any_list(vm: &FleetVm, _: &Scene, _: Moment) -> u64 {
+fn any_list(vm: &SimulatedVm, _: &SharedEndpoint, _: Moment) -> u64 {
     vm.part
 }
 
 /// An equal share for each VM, at least one request.
-fn equal_shares(vm: &FleetVm, scene: &Scene, _: Moment) -> u64 {
+fn equal_shares(vm: &SimulatedVm, scene: &SharedEndpoint, _: Moment) -> u64 {
     (scene.terms.count / (vm.right.all.len() as u64 + 1)).max(1)
 }
 
 /// The whole limit for one VM, the first by key in its list.
-fn one_sender(vm: &FleetVm, scene: &Scene, _: Moment) -> u64 {
+fn one_sender(vm: &SimulatedVm, scene: &SharedEndpoint, _: Moment) -> u64 {
     let is_first = vm.right.all.iter().all(|other| vm.right.own < *other);
     if is_first { scene.terms.count } else { 0 }
 }
 
 fn main() {
-    let strategies: [(&str, ShareWay); 4] = [
+    let strategies: [(&str, ShareRule); 4] = [
         ("parts, slow lists", own_share),
         ("parts, any list", any_list),
         ("equal parts", equal_shares),
@@ -58,15 +58,16 @@
     }
 }
 
-fn print_row(name: &str, strategy: ShareWay, size: (usize, usize), per_s: f64) {
+fn print_row(name: &str, strategy: ShareRule, size: (usize, usize), per_s: f64) {
     let terms = RateTerms::of_limit(per_s);
-    let scene = Scene { endpoint: EndpointKey(0), data_centre: "dc-0", terms, span_millis: WINDOW_MILLIS };
-    let calm = play(strategy, size, &scene, Trouble::None, (HISTORY_SECONDS, 1));
+    let scene =
+        SharedEndpoint { endpoint: EndpointKey(0), data_centre: "dc-0", terms, span_millis: WINDOW_MILLIS };
+    let calm = simulate(strategy, size, &scene, InjectedFault::None, (HISTORY_SECONDS, 1));
     let loads: Vec<_> = (0..HISTORIES)
-        .map(|seed| play(strategy, size, &scene, Trouble::Any, (HISTORY_SECONDS, seed)))
+        .map(|seed| simulate(strategy, size, &scene, InjectedFault::Any, (HISTORY_SECONDS, seed)))
         .collect();
     let most = loads.iter().map(|load| load.most).max().unwrap_or_default();
-    let in_touch = loads.iter().map(|load| load.most_in_touch).max().unwrap_or_default();
+    let in_touch = loads.iter().map(|load| load.max_unaffected).max().unwrap_or_default();
     let mean = loads.iter().map(|load| load.mean).sum::<f64>() / HISTORIES as f64;
     let allowed = per_s * 1.5 * WINDOW_MILLIS as f64 / 1_000.0 + 5.0;
     println!(
--- a/crates/decide/src/admit/admission.rs
+++ b/crates/decide/src/admit/admission.rs
@@ -40,8 +40,8 @@
 
 /// Returns the probability with which a waiting prompt claims free capacity at a poll.
 ///
-/// Many VMs with waiting prompts learn of the same engine's free memory at the same time, and all would send
-/// there. Each of the `vms` VMs makes a random draw with this probability instead.
+/// Many VMs with waiting prompts receive an engine's free memory at the same time, and all would send it their
+/// prompts. Each of the `vms` VMs makes a random draw with this probability instead.
 ///
 /// # Examples
 /// ```
--- a/crates/decide/src/admit/blocked_counts.rs
+++ b/crates/decide/src/admit/blocked_counts.rs
@@ -74,7 +74,7 @@
                 &mut counts.limited
             } else if row.is_ejected(now) {
                 &mut counts.ejected
-            } else if row.is_closing(now) {
+            } else if row.is_cordoned(now) {
                 &mut counts.cordoned
             } else {
                 continue;
--- a/crates/decide/src/admit/mod.rs
+++ b/crates/decide/src/admit/mod.rs
@@ -13,8 +13,10 @@
 pub use blocked_counts::BlockedCounts;
 pub use held_bytes::{HeldBytes, ReservationId};
 pub(crate) use placement::candidates;
-pub use placement::{PlacementChoice, PlacementRequest, ShareView, place, salt_text, salt_version};
+pub use placement::{
+    PlacementChoice, PlacementRequest, ShareView, format_cache_salt, parse_cache_salt, place,
+};
 pub use retry_budget::{BudgetTerms, RetryBudget};
-pub use share_queue::{QueueOrder, ShareCapacity, ShareQueue, ShareVerdict};
+pub use share_queue::{QueueEntry, ShareCapacity, ShareQueue, ShareVerdict};
 pub use shared_rate::{ColdTerms, ListMembership, RateTerms, RecentSends, ShareRight};
 pub(crate) use shared_rate::{MIN_REQUESTS_PER_S, SHARE_RETENTION_MILLIS};
--- a/crates/decide/src/admit/placement.rs
+++ b/crates/decide/src/admit/placement.rs
@@ -154,14 +154,14 @@
 ///
 /// # Examples
 /// ```
-/// assert_eq!(spanfold_decide::salt_text("shared", "m", 2), "shared.m.2");
+/// assert_eq!(spanfold_decide::format_cache_salt("shared", "m", 2), "shared.m.2");
 /// ```
-pub fn salt_text(isolation_scope: &str, model: &str, version: u64) -> String {
+pub fn format_cache_salt(isolation_scope: &str, model: &str, version: u64) -> String {
     format!("{isolation_scope}.{model}.{version}")
 }
 
-/// Returns the model and version in a text made by [`salt_text`].
-pub fn salt_version(text: &str) -> Option<(&str, u64)> {
+/// Returns the model and version in a text made by [`format_cache_salt`].
+pub fn parse_cache_salt(text: &str) -> Option<(&str, u64)> {
     let (prefix, version) = text.rsplit_once('.')?;
     let (_, model) = prefix.rsplit_once('.')?;
     Some((model, version.parse().ok()?))
@@ -205,7 +205,7 @@
         if may_be_overdue(row, &choice, request, now) {
             continue;
         }
-        let recompute_micros = choice.kept.reread_tokens as f64 * RECOMPUTE_MICROS_PER_TOKEN;
+        let recompute_micros = choice.kept.recomputed_tokens as f64 * RECOMPUTE_MICROS_PER_TOKEN;
         let cost = choice.expected_micros as f64
             + choice.excess_tokens as f64 * EXCESS_TOKEN_MICROS
             + recompute_micros
@@ -248,7 +248,7 @@
 }
 
 fn is_healthy(row: &EndpointRow, now: Moment) -> bool {
-    !row.is_ejected(now) && !row.is_closing(now) && !row.rest.is_backing_off(now)
+    !row.is_ejected(now) && !row.is_cordoned(now) && !row.rest.is_backing_off(now)
 }
 
 /// Values shared by many engines, computed once per request. Salt digest and store holders are the same for
@@ -297,7 +297,7 @@
     ) -> usize {
         let found = self.holders.iter().position(|(entry_version, _, _)| *entry_version == version);
         found.unwrap_or_else(|| {
-            let text = salt_text(request.wall, request.model.unwrap_or(""), version.unwrap_or(0));
+            let text = format_cache_salt(request.wall, request.model.unwrap_or(""), version.unwrap_or(0));
             let salt_digest = short_digest(&text);
             self.holders.push((
                 version,
@@ -332,7 +332,7 @@
     let Some(version) = row.entry.weights.get(model) else { return false };
     let expected = now.after_micros(choice.expected_micros * LATEST_START_FACTOR);
     let start = expected.after_millis(LATEST_START_MARGIN_MILLIS);
-    start >= required.last_start(*version)
+    start >= required.start_deadline(*version)
 }
 
 fn surcharge(row: &EndpointRow, request: &PlacementRequest<'_>) -> f64 {
--- a/crates/decide/src/admit/share_queue.rs
+++ b/crates/decide/src/admit/share_queue.rs
@@ -34,7 +34,7 @@
 
 /// Properties of a request that decide its position in the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct QueueOrder {
+pub struct QueueEntry {
     /// Number of the request at this VM, in the order of arrival.
     pub number: u64,
     /// Priority of the request; zero is the most urgent.
@@ -102,7 +102,7 @@
 /// A waiting request.
 #[derive(Debug)]
 struct WaitingRequest {
-    entry: QueueOrder,
+    entry: QueueEntry,
     /// Time at which an endpoint accepts it, by its latest poll.
     next_at: Moment,
     /// Time of its latest poll.
@@ -113,13 +113,13 @@
 type QueueKey = (u8, usize, Moment, u64);
 
 impl ServiceQueue {
-    fn sort_key(&self, entry: &QueueOrder) -> QueueKey {
+    fn sort_key(&self, entry: &QueueEntry) -> QueueKey {
         let served = self.served_counts.get(&entry.account).copied().unwrap_or_default();
         (entry.rank, served, entry.received, entry.number)
     }
 
     /// Counts the other requests waiting at `now` that precede `entry` and may go at `start_at`.
-    fn count_ahead(&self, entry: &QueueOrder, start_at: Moment, now: Moment) -> usize {
+    fn count_ahead(&self, entry: &QueueEntry, start_at: Moment, now: Moment) -> usize {
         let own_key = self.sort_key(entry);
         let others = self.waiting.iter().filter(|row| row.entry.number != entry.number);
         let others = others
@@ -161,7 +161,7 @@
 
 impl ShareQueue {
     /// Whether no waiting request precedes this one, which an endpoint accepts now.
-    pub fn is_next_in_queue(&self, service: &str, entry: &QueueOrder, now: Moment) -> bool {
+    pub fn is_next_in_queue(&self, service: &str, entry: &QueueEntry, now: Moment) -> bool {
         self.services.get(service).is_none_or(|queue| queue.count_ahead(entry, now, now) == 0)
     }
 
@@ -169,9 +169,9 @@
     ///
     /// # Examples
     /// ```
-    /// use spanfold_decide::{QueueOrder, ShareCapacity, ShareQueue, ShareVerdict};
+    /// use spanfold_decide::{QueueEntry, ShareCapacity, ShareQueue, ShareVerdict};
     /// use spanfold_entity::Moment;
-    /// let entry = QueueOrder {
+    /// let entry = QueueEntry {
     ///     number: 1, rank: 0, account: String::new(), received: Moment(0), objective_millis: 300,
     /// };
     /// let capacity = ShareCapacity {
@@ -185,7 +185,7 @@
     pub fn admit(
         &mut self,
         service: &str,
-        entry: &QueueOrder,
+        entry: &QueueEntry,
         capacity: &ShareCapacity,
         now: Moment,
     ) -> ShareVerdict {
@@ -214,7 +214,7 @@
     }
 
     /// Records that a request goes to an endpoint that accepts few.
-    pub fn record_served(&mut self, service: &str, entry: &QueueOrder, now: Moment) {
+    pub fn record_served(&mut self, service: &str, entry: &QueueEntry, now: Moment) {
         let queue = self.services.entry(service.to_owned()).or_default();
         queue.remove(entry.number);
         queue.discard_served(now);
--- a/crates/decide/src/admit/shared_rate.rs
+++ b/crates/decide/src/admit/shared_rate.rs
@@ -146,14 +146,14 @@
     /// use spanfold_entity::Moment;
     /// let at = |seconds: u64| Moment(seconds * 1_000_000);
     /// let mut membership = ListMembership::default();
-    /// membership.list_until(at(9), at(0));
+    /// membership.record_listing(at(9), at(0));
     /// membership.record_list_confirmation(at(1));
     /// assert!(!membership.holds(at(5)));
     /// membership.record_list_confirmation(at(4));
     /// assert!(membership.holds(at(5)) && membership.holds(at(20)) && !membership.holds(at(25)));
-    /// assert!(membership.is_fresh(at(5)) && !membership.is_fresh(at(8)));
+    /// assert!(membership.is_list_current(at(5)) && !membership.is_list_current(at(8)));
     /// ```
-    pub fn list_until(&mut self, lease_deadline: Moment, now: Moment) {
+    pub fn record_listing(&mut self, lease_deadline: Moment, now: Moment) {
         if self.member_since.is_none() || now >= self.membership_deadline {
             self.member_since = Some(now);
         }
@@ -185,7 +185,7 @@
     }
 
     /// Whether this VM may use its share, is listed, and has a current list.
-    pub fn is_fresh(&self, now: Moment) -> bool {
+    pub fn is_list_current(&self, now: Moment) -> bool {
         self.holds(now)
             && now < self.lease_deadline
             && now < self.confirmed_at.after_millis(LIST_FRESHNESS_MILLIS)
@@ -200,7 +200,7 @@
     /// Data centre of this VM.
     pub data_centre: String,
     /// Whether this VM is listed and its list is current.
-    pub is_fresh: bool,
+    pub is_list_current: bool,
     /// The other VMs of its data centre that may use their shares.
     pub near: Vec<VmKey>,
     /// All other VMs that may use their shares.
@@ -220,7 +220,7 @@
     /// assert_eq!(alone.part(EndpointKey::of("i-1"), "dc-a", &terms), 4);
     /// ```
     pub fn part(&self, endpoint: EndpointKey, data_centre: &str, terms: &RateTerms) -> u64 {
-        if terms.needs_current_list && !self.is_fresh {
+        if terms.needs_current_list && !self.is_list_current {
             return 0;
         }
         self.senders(data_centre).map_or(0, |others| self.share_among(others, endpoint, terms))
@@ -255,7 +255,7 @@
         Self {
             own,
             data_centre: data_centre.to_owned(),
-            is_fresh: true,
+            is_list_current: true,
             near: Vec::new(),
             all: Vec::new(),
             remote_data_centres: BTreeSet::new(),
--- a/crates/decide/src/fleet/deployment.rs
+++ b/crates/decide/src/fleet/deployment.rs
@@ -123,7 +123,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdSpec {
     /// Time for which a started endpoint counts as cold if it reports none, in milliseconds.
-    pub start_millis: u64,
+    pub default_cold_millis: u64,
     /// Requests a second from all VMs together.
     ///
     /// Zero if it accepts as many as a warm endpoint.
@@ -155,7 +155,7 @@
     /// Capacity of its link, in megabits a second.
     pub link_mbps: f64,
     /// Fixed latency of each transfer, in milliseconds.
-    pub first_millis: f64,
+    pub transfer_latency_millis: f64,
     /// Bytes of one token's cached state.
     pub token_bytes: u64,
     /// Long polls for updates that it accepts concurrently, from all VMs together.
@@ -243,7 +243,7 @@
 impl EndpointEntry {
     /// Returns the key that identifies this start of the endpoint.
     pub fn key(&self) -> EndpointKey {
-        EndpointKey::of_start(&self.id, self.born_millis)
+        EndpointKey::of_incarnation(&self.id, self.born_millis)
     }
 }
 
--- a/crates/decide/src/fleet/endpoint_row.rs
+++ b/crates/decide/src/fleet/endpoint_row.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::peer_loads::PeerLoads;
 use crate::fleet::reported_health::ReportedHealth;
-use crate::{EndpointBackoff, EndpointEntry, KeptParts, RecentSends, ReportedLimit, SendReport, VmKey};
+use crate::{CachedSegments, EndpointBackoff, EndpointEntry, RecentSends, ReportedLimit, SendReport, VmKey};
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
@@ -98,7 +98,7 @@
     /// Entry in service discovery; its weights may be newer than the listed ones.
     pub entry: EndpointEntry,
     /// Its entry is gone; until this deadline it may return, and the endpoint continues to get work.
-    pub missing_until: Option<Moment>,
+    pub grace_deadline: Option<Moment>,
     /// Whether its last written entry cannot be parsed, and so gives no endpoint to use.
     pub is_unreadable: bool,
     /// End of its data centre's evacuation; it gets no new work until then, and running work finishes.
@@ -120,7 +120,7 @@
     /// Work that other VMs have in flight there, as they report it.
     pub(crate) peer_loads: PeerLoads,
     /// Prompt segments that it is estimated to have cached.
-    pub kept: KeptParts,
+    pub kept: CachedSegments,
     /// Time until which it gets no new work, because its weights are about to change.
     pub cordoned_until: Moment,
     /// Source of the report that its weights are about to change.
@@ -144,7 +144,7 @@
     /// Returns the state of an endpoint of which only the entry was received.
     pub fn new(entry: EndpointEntry) -> Self {
         Self {
-            missing_until: None,
+            grace_deadline: None,
             is_unreadable: false,
             evacuated_until: Moment(0),
             cold_until: Moment(0),
@@ -155,7 +155,7 @@
             recent_sends: RecentSends::default(),
             own: LoadCount::default(),
             peer_loads: PeerLoads::default(),
-            kept: KeptParts::default(),
+            kept: CachedSegments::default(),
             cordoned_until: Moment(0),
             cordoned_by: CordonSource::Own,
             listed_weights: Arc::clone(&entry.weights),
@@ -213,7 +213,7 @@
     }
 
     /// Whether it announced its departure, in an answer or in its entry.
-    pub const fn has_announced_end(&self) -> bool {
+    pub const fn has_announced_departure(&self) -> bool {
         self.has_departed || self.entry.draining
     }
 
@@ -221,9 +221,9 @@
     ///
     /// An entry counts as gone after its grace period.
     pub fn is_departing(&self, now: Moment) -> bool {
-        self.has_announced_end()
+        self.has_announced_departure()
             || self.is_unreadable
-            || self.missing_until.is_some_and(|deadline| now >= deadline)
+            || self.grace_deadline.is_some_and(|deadline| now >= deadline)
     }
 
     /// Whether it may get new work: it is not departing, and its data centre is not evacuated.
@@ -237,16 +237,16 @@
         let has_changed = is_recent(self.observed_weights_at)
             || is_recent(self.reported_weights_at)
             || is_recent(self.remote_weights_at);
-        has_changed || self.is_closing(now)
+        has_changed || self.is_cordoned(now)
     }
 
     /// Whether it is cordoned, because its weights change or are about to.
-    pub fn is_closing(&self, now: Moment) -> bool {
+    pub fn is_cordoned(&self, now: Moment) -> bool {
         now < self.cordoned_until
     }
 
     /// Records the outcome of a send by this VM.
-    pub fn learn(&mut self, outcome: SendOutcome, now: Moment) {
+    pub fn record_outcome(&mut self, outcome: SendOutcome, now: Moment) {
         let failure = match outcome {
             SendOutcome::Answered => 0.0,
             SendOutcome::Failed | SendOutcome::Unreached | SendOutcome::Broken | SendOutcome::Silent => 1.0,
--- a/crates/decide/src/fleet/endpoint_snapshot.rs
+++ b/crates/decide/src/fleet/endpoint_snapshot.rs
@@ -31,7 +31,7 @@
 impl EndpointSnapshot {
     /// Creates a snapshot of a table to which all changes up to `position` are applied.
     pub fn of(table: &FleetTable, position: StorePosition, now: Moment) -> Self {
-        let listed = table.rows().filter(|(_, row)| row.missing_until.is_none() && !row.is_unreadable);
+        let listed = table.rows().filter(|(_, row)| row.grace_deadline.is_none() && !row.is_unreadable);
         let entries = listed.map(|(_, row)| {
             let cold_millis = row.cold_until.micros_since(now) / MICROS_PER_MILLI;
             let cold_millis = Some(if now < row.cold_until { cold_millis } else { 0 });
--- a/crates/decide/src/fleet/fleet_entries.rs
+++ b/crates/decide/src/fleet/fleet_entries.rs
@@ -34,7 +34,7 @@
         let has_reappeared = self.removed.remove(&key).is_some();
         let cold_until = self.cold_until_of(&entry, now);
         if let Some(row) = self.rows.get_mut(&key) {
-            row.missing_until = None;
+            row.grace_deadline = None;
             row.is_unreadable = false;
             entry.draining |= row.entry.draining;
             row.listed_weights.clone_from(&entry.weights);
@@ -98,7 +98,7 @@
     /// Whether an entry lacks a start time although the endpoints of its service state theirs.
     ///
     /// Such an entry was not written by its endpoint.
-    pub fn lacks_start(&self, entry: &EndpointEntry) -> bool {
+    pub fn lacks_start_time(&self, entry: &EndpointEntry) -> bool {
         entry.born_millis.is_none() && self.dated_services.contains(&entry.service)
     }
 
@@ -150,15 +150,15 @@
     /// Records that the entry of one incarnation is gone; it gets work until `grace_deadline`.
     pub fn mark_key_missing(&mut self, key: EndpointKey, grace_deadline: Moment) {
         if let Some(row) = self.rows.get_mut(&key) {
-            row.missing_until =
-                Some(row.missing_until.map_or(grace_deadline, |current| current.min(grace_deadline)));
+            row.grace_deadline =
+                Some(row.grace_deadline.map_or(grace_deadline, |current| current.min(grace_deadline)));
         }
     }
 
     /// Extends running grace periods of missing entries, because the store still fails.
     pub fn extend_grace(&mut self, now: Moment, grace_deadline: Moment) {
         for row in self.rows.values_mut() {
-            if let Some(current) = &mut row.missing_until
+            if let Some(current) = &mut row.grace_deadline
                 && now < *current
             {
                 *current = (*current).max(grace_deadline);
--- a/crates/decide/src/fleet/fleet_keys.rs
+++ b/crates/decide/src/fleet/fleet_keys.rs
@@ -62,10 +62,10 @@
     /// # Examples
     /// ```
     /// use spanfold_decide::EndpointKey;
-    /// assert_ne!(EndpointKey::of_start("a", Some(1)), EndpointKey::of_start("a", Some(2)));
-    /// assert_eq!(EndpointKey::of_start("a", None), EndpointKey::of("a"));
+    /// assert_ne!(EndpointKey::of_incarnation("a", Some(1)), EndpointKey::of_incarnation("a", Some(2)));
+    /// assert_eq!(EndpointKey::of_incarnation("a", None), EndpointKey::of("a"));
     /// ```
-    pub fn of_start(id: &str, born_millis: Option<u64>) -> Self {
+    pub fn of_incarnation(id: &str, born_millis: Option<u64>) -> Self {
         born_millis.map_or_else(|| Self::of(id), |born| Self(short_digest(&format!("{id}@{born}"))))
     }
 }
--- a/crates/decide/src/fleet/fleet_limits.rs
+++ b/crates/decide/src/fleet/fleet_limits.rs
@@ -18,7 +18,7 @@
     /// Returns when an endpoint whose entry was received at `now` stops being cold.
     pub(super) fn cold_until_of(&mut self, entry: &EndpointEntry, now: Moment) -> Moment {
         let spec = self.services.get(&entry.service).map_or_else(ColdSpec::default, |service| service.cold);
-        let millis = entry.cold_millis.unwrap_or(spec.start_millis).min(MAX_COLD_MILLIS);
+        let millis = entry.cold_millis.unwrap_or(spec.default_cold_millis).min(MAX_COLD_MILLIS);
         let cold_until = now.after_millis(millis);
         if spec.per_s > 0.0 {
             self.max_cold_until = self.max_cold_until.max(cold_until);
@@ -73,7 +73,7 @@
     }
 
     /// Whether an endpoint takes few requests from all VMs together.
-    pub fn takes_few(&self, key: EndpointKey, now: Moment) -> bool {
+    pub fn takes_few_requests(&self, key: EndpointKey, now: Moment) -> bool {
         self.rows
             .get(&key)
             .is_some_and(|row| row.limit.rate(now).is_some() || self.cold_spec(row, now).is_some())
--- a/crates/decide/src/fleet/fleet_loads.rs
+++ b/crates/decide/src/fleet/fleet_loads.rs
@@ -87,6 +87,6 @@
     /// Idle endpoints are omitted.
     pub fn remote_loads(&self, now: Moment) -> Vec<(EndpointKey, LoadCount)> {
         let busy = self.reported_by(|source| matches!(source, LoadSource::DataCentre(_))).collect();
-        self.loads_at(busy, |row| row.peer_loads.sum_far(now))
+        self.loads_at(busy, |row| row.peer_loads.remote_sum(now))
     }
 }
--- a/crates/decide/src/fleet/fleet_stores.rs
+++ b/crates/decide/src/fleet/fleet_stores.rs
@@ -33,8 +33,8 @@
     ///
     /// Each item contains the remaining transfer time on a store's link, in microseconds, and the recent
     /// slowdown.
-    pub fn moves_of(&self, includes: impl Fn(VmKey) -> bool, now: Moment) -> Vec<LinkTransfers> {
-        self.busy_links(|row| row.moves_of(&includes, now))
+    pub fn transfers_of(&self, includes: impl Fn(VmKey) -> bool, now: Moment) -> Vec<LinkTransfers> {
+        self.busy_links(|row| row.transfers_of(&includes, now))
     }
 
     /// Returns the transfers of the VMs of other data centres, as their leaders report them.
@@ -59,12 +59,12 @@
             if let Some(row) = self.stores.get_mut(&key)
                 && !transfers.iter().any(|(listed_key, _, _)| *listed_key == key)
             {
-                row.clear_peer(source);
+                row.clear_peer_transfers(source);
             }
         }
         for (key, micros, slowdown) in transfers {
             if let Some(row) = self.stores.get_mut(key) {
-                row.set_peer(source, *micros, slowdown.map(f64::from), now);
+                row.set_peer_transfers(source, *micros, slowdown.map(f64::from), now);
             }
         }
     }
--- a/crates/decide/src/fleet/fleet_table.rs
+++ b/crates/decide/src/fleet/fleet_table.rs
@@ -162,7 +162,7 @@
         let missing: Vec<_> = self
             .rows
             .iter()
-            .filter(|(key, row)| !listed.contains(key) && row.missing_until.is_none())
+            .filter(|(key, row)| !listed.contains(key) && row.grace_deadline.is_none())
             .map(|(_, row)| row.entry.id.clone())
             .collect();
         for id in &missing {
@@ -176,7 +176,7 @@
         let mut gone = Vec::new();
         let mut counts = FleetCounts::default();
         for (key, row) in &mut self.rows {
-            if row.missing_until.is_some_and(|deadline| now >= deadline) && row.own.running == 0 {
+            if row.grace_deadline.is_some_and(|deadline| now >= deadline) && row.own.running == 0 {
                 gone.push(*key);
                 continue;
             }
@@ -196,7 +196,7 @@
             if let Some(keys) = self.keys_by_service.get_mut(&row.entry.service) {
                 keys.retain(|listed_key| listed_key != key);
             }
-            let has_departed = row.has_announced_end();
+            let has_departed = row.has_announced_departure();
             let EndpointEntry { id, weights, .. } = row.entry;
             self.record_removed(*key, RemovedEndpoint { id, recorded_at: now, weights, has_departed });
         }
@@ -246,9 +246,9 @@
     }
 
     /// Records the outcome of a send by this VM.
-    pub fn learn(&mut self, key: EndpointKey, outcome: SendOutcome, now: Moment) {
+    pub fn record_outcome(&mut self, key: EndpointKey, outcome: SendOutcome, now: Moment) {
         let Some(row) = self.rows.get_mut(&key) else { return };
-        row.learn(outcome, now);
+        row.record_outcome(outcome, now);
         let record = self.reachability.entry(row.entry.data_centre.clone()).or_default();
         match outcome {
             SendOutcome::Unreached | SendOutcome::Broken | SendOutcome::Silent => {
--- a/crates/decide/src/fleet/fleet_versions.rs
+++ b/crates/decide/src/fleet/fleet_versions.rs
@@ -7,11 +7,11 @@
     /// Returns the test order of the last canary endpoint for a share of the requests.
     ///
     /// None if no endpoint of the version takes work.
-    pub fn last_tested(&self, service: &str, version: &str, share: f64, now: Moment) -> Option<u64> {
+    pub fn last_canary_order(&self, service: &str, version: &str, share: f64, now: Moment) -> Option<u64> {
         let rows = self.rows_of(service).filter(|(_, row)| *row.entry.version == *version);
         let mut orders: Vec<_> = rows
             .filter(|(_, row)| row.takes_work(now))
-            .map(|(key, _)| VersionSplit::test_order(key))
+            .map(|(key, _)| VersionSplit::canary_order(key))
             .collect();
         let count = ((orders.len() as f64 * share).ceil() as usize).max(1);
         if orders.len() < count {
@@ -24,7 +24,7 @@
     /// Marks the endpoints of all versions but the current one departed.
     ///
     /// They are stopped, and do not announce their departure themselves.
-    pub fn leave_behind(&mut self, service: &str, version: &str) {
+    pub fn mark_other_versions_departed(&mut self, service: &str, version: &str) {
         let rows = self.rows.values_mut().filter(|row| row.entry.service == *service);
         for row in rows.filter(|row| *row.entry.version != *version) {
             row.has_departed = true;
--- a/crates/decide/src/fleet/fleet_weights.rs
+++ b/crates/decide/src/fleet/fleet_weights.rs
@@ -80,7 +80,7 @@
     }
 
     /// Iterates over the endpoints whose weights change or changed recently.
-    pub fn changing(&self) -> impl Iterator<Item = (EndpointKey, &EndpointRow)> {
+    pub fn rows_with_changing_weights(&self) -> impl Iterator<Item = (EndpointKey, &EndpointRow)> {
         self.changing_weights.iter().filter_map(|key| Some((*key, self.rows.get(key)?.as_ref())))
     }
 
--- a/crates/decide/src/fleet/mod.rs
+++ b/crates/decide/src/fleet/mod.rs
@@ -47,6 +47,6 @@
 pub use store_event::{StoreEvent, StoreItem};
 pub use store_position::StorePosition;
 pub use update_fragments::{
-    PIECE_BYTES, PIECES_LIMIT, ReassemblyProgress, UpdateFragment, UpdateReassembly, split_update,
+    MAX_FRAGMENT_BYTES, MAX_FRAGMENTS, ReassemblyProgress, UpdateFragment, UpdateReassembly, split_update,
 };
 pub use update_history::UpdateHistory;
--- a/crates/decide/src/fleet/peer_loads.rs
+++ b/crates/decide/src/fleet/peer_loads.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns the load of the VMs of other data centres, as their leaders reported it.
-    pub(crate) fn sum_far(&self, now: Moment) -> LoadCount {
+    pub(crate) fn remote_sum(&self, now: Moment) -> LoadCount {
         self.sum_where(|source| matches!(source, LoadSource::DataCentre(_)), now)
     }
 
--- a/crates/decide/src/fleet/peer_table.rs
+++ b/crates/decide/src/fleet/peer_table.rs
@@ -310,7 +310,7 @@
     /// recently that they may still use their shares.
     pub fn share_right(&self, membership: &ListMembership, now: Moment) -> ShareRight {
         let mut right = ShareRight::alone(VmKey::of(&self.own.name), &self.own.data_centre);
-        right.is_fresh = membership.is_fresh(now);
+        right.is_list_current = membership.is_list_current(now);
         let listed = self.rows.iter().filter(|(_, row)| row.listed);
         let listed = listed.map(|(vm, row)| (*vm, row.entry.data_centre.as_str()));
         let departed = self.departed.iter().filter(|(_, row)| now < row.share_deadline);
@@ -466,7 +466,7 @@
     }
 
     /// Returns this VM's index among all VMs of the deployment by name, from zero.
-    pub fn own_rank(&self) -> usize {
+    pub fn own_name_index(&self) -> usize {
         self.rows.values().filter(|row| row.entry.name < self.own.name).count()
     }
 }
--- a/crates/decide/src/fleet/propagation_plan.rs
+++ b/crates/decide/src/fleet/propagation_plan.rs
@@ -28,7 +28,7 @@
     /// Targets of this VM: the relays and its own group of the other VMs.
     pub targets: Vec<SocketAddr>,
     /// Largest number of VMs to which one relay sends.
-    pub relayed_count: usize,
+    pub max_relay_targets: usize,
     /// The narrowest link of a relay, in megabits a second; zero without relays.
     pub relay_mbps: f64,
 }
@@ -65,7 +65,7 @@
         let own = groups.first().cloned().unwrap_or_default();
         PropagationPlan {
             targets: relays.iter().map(|vm| vm.address).chain(own).collect(),
-            relayed_count: groups.iter().skip(1).map(Vec::len).max().unwrap_or(0),
+            max_relay_targets: groups.iter().skip(1).map(Vec::len).max().unwrap_or(0),
             relay_mbps: if relays.is_empty() { 0.0 } else { relay_mbps },
         }
     }
--- a/crates/decide/src/fleet/route_table.rs
+++ b/crates/decide/src/fleet/route_table.rs
@@ -76,7 +76,7 @@
     }
 
     /// Whether routes that are not public require a key.
-    pub fn asks_for_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         !self.config.accounts.is_empty()
     }
 }
--- a/crates/decide/src/fleet/update_fragments.rs
+++ b/crates/decide/src/fleet/update_fragments.rs
@@ -11,13 +11,13 @@
 /// Largest content of a fragment, in bytes.
 ///
 /// A link of 10 Mbit/s takes 13 ms for it.
-pub const PIECE_BYTES: usize = 16 << 10;
+pub const MAX_FRAGMENT_BYTES: usize = 16 << 10;
 /// Largest update after decompression, in bytes.
 ///
 /// It contains several values of the largest size that a store accepts.
 const MAX_UPDATE_BYTES: u64 = 8 << 20;
 /// Maximum number of fragments of an update; larger updates are not propagated.
-pub const PIECES_LIMIT: usize = 64;
+pub const MAX_FRAGMENTS: usize = 64;
 /// Maximum number of updates in reassembly at a time.
 ///
 /// Several VMs may propagate a few updates each at once.
@@ -45,7 +45,7 @@
     Unreadable,
 }
 
-/// Splits an update into fragments; `None` if it needs more than `PIECES_LIMIT`.
+/// Splits an update into fragments; `None` if it needs more than `MAX_FRAGMENTS`.
 ///
 /// An update without events has no fragments.
 ///
@@ -67,11 +67,11 @@
         return Some(Vec::new());
     }
     let packed = pack(&events)?;
-    let count = packed.chunks(PIECE_BYTES).len() as u32;
-    if count as usize > PIECES_LIMIT {
+    let count = packed.chunks(MAX_FRAGMENT_BYTES).len() as u32;
+    if count as usize > MAX_FRAGMENTS {
         return None;
     }
-    let chunks = packed.chunks(PIECE_BYTES).zip(0..);
+    let chunks = packed.chunks(MAX_FRAGMENT_BYTES).zip(0..);
     Some(chunks.map(|(content, place)| UpdateFragment { place, count, content: content.to_vec() }).collect())
 }
 
@@ -104,7 +104,7 @@
         fragment: &UpdateFragment,
     ) -> ReassemblyProgress {
         let (index, count) = (fragment.place as usize, fragment.count as usize);
-        if index >= count || count > PIECES_LIMIT || fragment.content.len() > PIECE_BYTES {
+        if index >= count || count > MAX_FRAGMENTS || fragment.content.len() > MAX_FRAGMENT_BYTES {
             return ReassemblyProgress::Unreadable;
         }
         let open = self.open(reporter, from, to, fragment.count);
--- a/crates/decide/src/kept/cached_segments.rs
+++ b/crates/decide/src/kept/cached_segments.rs
@@ -13,20 +13,20 @@
 
 /// Segments that are estimated to be cached; the least recently used one is evicted first.
 #[derive(Debug, Default)]
-pub struct KeptParts {
+pub struct CachedSegments {
     tokens: u64,
     /// Salted keys and tokens, in the order of last use.
     rows: Vec<(u64, u32)>,
 }
 
-impl KeptParts {
+impl CachedSegments {
     /// Returns the number of leading `segments` estimated to be cached under the salt with the digest `salt`.
     ///
     /// # Examples
     /// ```
-    /// use spanfold_decide::{KeptParts, PromptSegment};
+    /// use spanfold_decide::{CachedSegments, PromptSegment};
     /// let segments = [PromptSegment { key: 1, tokens: 100 }, PromptSegment { key: 2, tokens: 50 }];
-    /// let mut cached = KeptParts::default();
+    /// let mut cached = CachedSegments::default();
     /// cached.note(&segments[1..], 7, 1_000);
     /// assert_eq!(cached.leading(&segments, 7), 0);
     /// cached.note(&segments, 7, 1_000);
--- a/crates/decide/src/kept/index_reporter.rs
+++ b/crates/decide/src/kept/index_reporter.rs
@@ -22,7 +22,7 @@
 
 /// Contents of the next message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ToldBooks {
+pub struct IndexReport {
     /// Stores with their changes; one of them, in rotation, with segments of its full index.
     pub rows: Vec<CacheReport>,
     /// Whether changes remain for another message.
@@ -38,12 +38,12 @@
         max_segments: usize,
         is_full_index_due: bool,
         now: Moment,
-    ) -> ToldBooks {
+    ) -> IndexReport {
         let mut stores: Vec<_> =
             table.stores().filter(|(_, row)| row.is_heard(now)).map(|(store, _)| store).collect();
         let offset = stores.iter().position(|store| *store > self.last_store).unwrap_or(0);
         stores.rotate_left(offset);
-        let mut report = ToldBooks::default();
+        let mut report = IndexReport::default();
         let mut remaining = max_segments;
         for store in &stores {
             let Some(row) = table.store_mut(*store) else { continue };
@@ -64,7 +64,7 @@
     }
 
     /// Adds segments of the next store's full index to a message that includes all stores.
-    fn add_index_segments(&mut self, table: &mut FleetTable, report: &mut ToldBooks, max_segments: usize) {
+    fn add_index_segments(&mut self, table: &mut FleetTable, report: &mut IndexReport, max_segments: usize) {
         // Sorted by key, so that the rotation doesn't depend on the order of this message.
         report.rows.sort_by_key(|row| row.store);
         let position = self.index_count % report.rows.len();
--- a/crates/decide/src/kept/mod.rs
+++ b/crates/decide/src/kept/mod.rs
@@ -9,8 +9,8 @@
 mod transfer_plan;
 
 pub use cache_report::CacheReport;
-pub use cached_segments::KeptParts;
-pub use index_reporter::{IndexReporter, ToldBooks};
+pub use cached_segments::CachedSegments;
+pub use index_reporter::{IndexReport, IndexReporter};
 pub use outdated_segments::outdated_segments;
 pub use poll_schedule::PollSchedule;
 pub use store_row::{StoreRow, salted_key};
--- a/crates/decide/src/kept/outdated_segments.rs
+++ b/crates/decide/src/kept/outdated_segments.rs
@@ -6,7 +6,7 @@
 //! soon after a change of weights.
 
 use crate::CacheUpdate;
-use crate::salt_version;
+use crate::parse_cache_salt;
 use std::collections::HashSet;
 
 /// Returns the salts and segments of `model` in a listing that were computed with weights older than
@@ -21,7 +21,8 @@
 /// assert!(outdated_segments(&update, "m", 1).is_empty());
 /// ```
 pub fn outdated_segments(update: &CacheUpdate, model: &str, version: u64) -> Vec<(String, String)> {
-    let version_of = |salt: &str| salt_version(salt).filter(|(name, _)| *name == model).map(|(_, used)| used);
+    let version_of =
+        |salt: &str| parse_cache_salt(salt).filter(|(name, _)| *name == model).map(|(_, used)| used);
     let is_outdated = |salt: &str| version_of(salt).is_some_and(|used| used < version);
     let renewed: HashSet<&str> = update
         .changes
--- a/crates/decide/src/kept/poll_schedule.rs
+++ b/crates/decide/src/kept/poll_schedule.rs
@@ -47,7 +47,7 @@
     }
 
     /// Returns how long a report of the store is valid, in milliseconds.
-    pub const fn counts_millis(self) -> u64 {
+    pub const fn report_lifetime_millis(self) -> u64 {
         (self.held_millis + self.rest_millis) * LIFETIME_ROUNDS + LIFETIME_MARGIN_MILLIS
     }
 }
--- a/crates/decide/src/kept/store_row.rs
+++ b/crates/decide/src/kept/store_row.rs
@@ -249,7 +249,9 @@
     pub fn transfer_time_micros(&self, tokens: u64, data_centre: &str, now: Moment) -> f64 {
         let peer_micros: u64 = self.peers.values().map(|transfers| transfers.end_at.micros_since(now)).sum();
         let waiting_micros = self.own_transfers_end_at.micros_since(now) + peer_micros;
-        waiting_micros as f64 + self.spec.first_millis * 1_000.0 + self.link_micros(tokens, data_centre, now)
+        waiting_micros as f64
+            + self.spec.transfer_latency_millis * 1_000.0
+            + self.link_micros(tokens, data_centre, now)
     }
 
     /// Returns the time for which a transfer of `tokens` occupies the link, in microseconds.
@@ -296,7 +298,7 @@
 
     /// Returns the remaining time of the transfers of this VM and of the VMs that `is_counted` selects, in
     /// microseconds, and the mean of the slowdowns that their transfers have shown recently.
-    pub fn moves_of(&self, is_counted: impl Fn(VmKey) -> bool, now: Moment) -> (u64, Option<f64>) {
+    pub fn transfers_of(&self, is_counted: impl Fn(VmKey) -> bool, now: Moment) -> (u64, Option<f64>) {
         let counted = self.transfers_where(|source| matches!(source, LoadSource::Vm(vm) if is_counted(vm)));
         let micros: u64 = counted.iter().map(|transfers| transfers.end_at.micros_since(now)).sum();
         let reported = reported_slowdowns(&counted, now);
@@ -322,7 +324,13 @@
     }
 
     /// Applies the report of another VM or data centre on its transfers.
-    pub fn set_peer(&mut self, source: LoadSource, busy_micros: u64, slowdown: Option<f64>, now: Moment) {
+    pub fn set_peer_transfers(
+        &mut self,
+        source: LoadSource,
+        busy_micros: u64,
+        slowdown: Option<f64>,
+        now: Moment,
+    ) {
         let slowdown_deadline = now.after_millis(SLOWDOWN_LIFETIME_MILLIS);
         self.peers.insert(
             source,
@@ -331,7 +339,7 @@
     }
 
     /// Records that another VM or data centre has no transfers here.
-    pub(crate) fn clear_peer(&mut self, source: LoadSource) {
+    pub(crate) fn clear_peer_transfers(&mut self, source: LoadSource) {
         self.peers.remove(&source);
     }
 }
--- a/crates/decide/src/kept/transfer_plan.rs
+++ b/crates/decide/src/kept/transfer_plan.rs
@@ -28,9 +28,9 @@
     /// Further tokens that are transferred there.
     pub moved_tokens: u64,
     /// Tokens beyond the cached ones that stores contain, transferred or not.
-    pub held_tokens: u64,
+    pub stored_tokens: u64,
     /// Tokens of shared segments that are prefilled there all the same.
-    pub reread_tokens: u64,
+    pub recomputed_tokens: u64,
     /// Expected time of these transfers, in microseconds.
     pub transfer_time_micros: f64,
     /// Store from which each segment may be fetched.
@@ -120,13 +120,13 @@
     let shared_count = segments.len().saturating_sub(1);
     for (index, (fastest, segment)) in transfers.0.iter().zip(segments).enumerate().skip(cached_count) {
         let tokens = u64::from(segment.tokens);
-        plan.held_tokens += if fastest.is_some() { tokens } else { 0 };
+        plan.stored_tokens += if fastest.is_some() { tokens } else { 0 };
         is_unbroken &= is_transferred(*fastest, segment, terms);
         if let Some((_, micros)) = fastest.filter(|_| is_unbroken) {
             plan.moved_tokens += tokens;
             plan.transfer_time_micros += micros;
         } else if index < shared_count {
-            plan.reread_tokens += tokens;
+            plan.recomputed_tokens += tokens;
         }
     }
     plan
@@ -204,7 +204,7 @@
     now: Moment,
 ) -> Option<EndpointKey> {
     let save_micros = |row: &StoreRow| {
-        row.spec.first_millis * 1_000.0
+        row.spec.transfer_latency_millis * 1_000.0
             + f64::from(tokens) * row.spec.token_bytes as f64 * 8.0 / row.spec.link_mbps.max(1.0)
     };
     let candidates: Vec<_> = table
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -22,36 +22,36 @@
 
 pub use admit::{
     AdmissionVerdict, AdmissionView, BlockedCounts, BudgetTerms, ColdTerms, HeldBytes, ListMembership,
-    PlacementChoice, PlacementRequest, QueueOrder, RateTerms, RecentSends, ReservationId, RetryBudget,
-    ShareCapacity, ShareQueue, ShareRight, ShareVerdict, ShareView, claim_probability, place, salt_text,
-    salt_version,
+    PlacementChoice, PlacementRequest, QueueEntry, RateTerms, RecentSends, ReservationId, RetryBudget,
+    ShareCapacity, ShareQueue, ShareRight, ShareVerdict, ShareView, claim_probability, format_cache_salt,
+    parse_cache_salt, place,
 };
 pub(crate) use fleet::SharedWeights;
 pub use fleet::{
     AccountRow, BackoffChange, CacheChange, CacheUpdate, ColdSpec, CordonSource, DeploymentConfig,
     EndpointBackoff, EndpointEntry, EndpointKey, EndpointRow, EndpointSnapshot, EngineReport, EngineSpec,
     FleetCounts, FleetSweep, FleetTable, HomeRegions, LEADERS_PER_DATA_CENTRE, LimitChange, LimitReport,
-    LinkTransfers, LoadCount, LoadSource, PIECE_BYTES, PIECES_LIMIT, PeerHeartbeat, PeerTable, PromptSegment,
-    PropagationPlan, ReassemblyProgress, ReportedLimit, RequestLimits, RouteKind, RouteRow, RouteTable,
-    SendOutcome, SendReport, ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition, StoreSpec,
-    UpdateFragment, UpdateHistory, UpdateReassembly, VmEntry, VmKey, WeightTarget, pack, pick_target,
-    short_digest, split_update, unpack,
+    LinkTransfers, LoadCount, LoadSource, MAX_FRAGMENT_BYTES, MAX_FRAGMENTS, PeerHeartbeat, PeerTable,
+    PromptSegment, PropagationPlan, ReassemblyProgress, ReportedLimit, RequestLimits, RouteKind, RouteRow,
+    RouteTable, SendOutcome, SendReport, ServiceRow, ServiceWeight, StoreEvent, StoreItem, StorePosition,
+    StoreSpec, UpdateFragment, UpdateHistory, UpdateReassembly, VmEntry, VmKey, WeightTarget, pack,
+    pick_target, short_digest, split_update, unpack,
 };
 pub use kept::{
-    CacheReport, IndexReporter, KeptParts, PollSchedule, StoreRow, ToldBooks, TransferPlan,
+    CacheReport, CachedSegments, IndexReport, IndexReporter, PollSchedule, StoreRow, TransferPlan,
     outdated_segments, salted_key,
 };
 pub use quarantine::{
-    CrashHistory, CrashReport, CrashVerdict, ENDINGS_LEAST, EndpointCrash, IdentityKey, KeyTextError,
-    QuarantineChange, QuarantineMessage, QuarantinePhase, QuarantineTable, QuarantinedRequest,
-    RequestIdentity, RequestKey, RequestQuarantine,
+    CrashHistory, CrashReport, CrashVerdict, EndpointCrash, IdentityKey, KeyTextError,
+    MIN_CRASHES_PER_VERDICT, QuarantineChange, QuarantineMessage, QuarantinePhase, QuarantineTable,
+    QuarantinedRequest, RequestIdentity, RequestKey, RequestQuarantine,
 };
 pub use rollout::{
-    AnswerCounts, ExposureTerms, RolloutAnswer, RolloutEvidence, RolloutOrder, RolloutPhase, RolloutReason,
-    RolloutRecord, RolloutRun, RolloutStep, RolloutSums, RolloutTable, RouteCounts, StoredStatus, SumKey,
-    TestDraw, VersionSplit, WaitingSums,
+    AnswerCounts, CanaryDraw, ExposureTerms, PendingSums, RolloutAnswer, RolloutEvidence, RolloutOrder,
+    RolloutPhase, RolloutReason, RolloutRecord, RolloutRun, RolloutStep, RolloutSums, RolloutTable,
+    RouteCounts, StoredStatus, SumKey, VersionSplit,
 };
 pub use weights::{
-    EngineState, LeaseHolder, LeaseOwnership, NamingTime, PublicationRecord, PublishedVersion,
+    EngineState, LeaseHolder, LeaseOwnership, PublicationRecord, PublicationTime, PublishedVersion,
     PublishedWeights, RequiredWeights, WeightScheduler, WeightStep,
 };
--- a/crates/decide/src/quarantine/crash_history.rs
+++ b/crates/decide/src/quarantine/crash_history.rs
@@ -5,7 +5,7 @@
 //! and meet the next crash by chance.
 //!
 //! Invariant: a request is found fatal only if
-//! - at least [`ENDINGS_LEAST`] endpoints crashed under it, each time another start of an endpoint;
+//! - at least [`MIN_CRASHES_PER_VERDICT`] endpoints crashed under it, each time another start of an endpoint;
 //! - no endpoint has completed it since: one that did clears it;
 //! - at each of these crashes no other request was running under which more endpoints crashed, since a crash
 //!   has one cause;
@@ -23,7 +23,7 @@
 use std::collections::BTreeMap;
 
 /// Minimum number of crashes under a request before it can be found fatal.
-pub const ENDINGS_LEAST: usize = 3;
+pub const MIN_CRASHES_PER_VERDICT: usize = 3;
 /// Minimum log odds against a request: the natural logarithm of ten million, to which that of the number of
 /// endpoints is added.
 ///
@@ -100,7 +100,7 @@
     /// Whether the request crashes endpoints.
     pub fn is_fatal(&self) -> bool {
         let needed = MIN_LOG_ODDS + f64::from(self.among.max(1)).ln();
-        self.counted >= ENDINGS_LEAST && self.log_odds >= needed
+        self.counted >= MIN_CRASHES_PER_VERDICT && self.log_odds >= needed
     }
 
     /// Whether a request on probation crashes endpoints again.
--- a/crates/decide/src/quarantine/mod.rs
+++ b/crates/decide/src/quarantine/mod.rs
@@ -7,7 +7,7 @@
 mod request_key;
 mod request_quarantine;
 
-pub use crash_history::{CrashHistory, CrashVerdict, ENDINGS_LEAST};
+pub use crash_history::{CrashHistory, CrashVerdict, MIN_CRASHES_PER_VERDICT};
 pub use endpoint_crash::{CrashReport, EndpointCrash};
 pub use quarantine_message::QuarantineMessage;
 pub use quarantine_table::{QuarantinePhase, QuarantineTable, QuarantinedRequest};
--- a/crates/decide/src/quarantine/quarantine_table.rs
+++ b/crates/decide/src/quarantine/quarantine_table.rs
@@ -204,7 +204,7 @@
     }
 
     /// Schedules a write of all quarantines, since the store may have lost them.
-    pub fn write_all_again(&mut self) {
+    pub fn rewrite_all(&mut self) {
         for row in self.rows.values_mut().filter(|row| row.phase == QuarantinePhase::Held) {
             row.write_at = Moment(0);
         }
--- a/crates/decide/src/quarantine/request_quarantine.rs
+++ b/crates/decide/src/quarantine/request_quarantine.rs
@@ -4,7 +4,7 @@
 //! quarantine that one of them began without having received its evidence.
 
 use crate::{
-    CrashHistory, CrashReport, CrashVerdict, ENDINGS_LEAST, EndpointCrash, QuarantineMessage,
+    CrashHistory, CrashReport, CrashVerdict, EndpointCrash, MIN_CRASHES_PER_VERDICT, QuarantineMessage,
     QuarantinePhase, QuarantineTable, QuarantinedRequest, RequestKey,
 };
 
@@ -106,7 +106,7 @@
 
     /// Whether one more crash may put a request in quarantine.
     pub fn is_close(&self, request: RequestKey) -> bool {
-        self.table.is_on_probation(request) || self.history.crashes_of(request) + 1 >= ENDINGS_LEAST
+        self.table.is_on_probation(request) || self.history.crashes_of(request) + 1 >= MIN_CRASHES_PER_VERDICT
     }
 
     /// Returns all requests that are or were quarantined.
@@ -125,11 +125,11 @@
     }
 
     /// Adds a report; returns whether it is new.
-    pub fn take_report(&mut self, report: &CrashReport, now: Moment) -> bool {
+    pub fn record_report(&mut self, report: &CrashReport, now: Moment) -> bool {
         let is_new = self.history.add_report(report);
         let request = report.request;
-        let may_be_fatal =
-            self.history.crashes_of(request) >= ENDINGS_LEAST || self.table.is_on_probation(request);
+        let may_be_fatal = self.history.crashes_of(request) >= MIN_CRASHES_PER_VERDICT
+            || self.table.is_on_probation(request);
         if is_new && self.table.held(request, now).is_some() {
             self.history.mark_explained(request);
         } else if is_new && may_be_fatal {
@@ -182,7 +182,7 @@
             QuarantineMessage::Ended { request, start, place, service, among, age_micros, ago_micros } => {
                 let ending = EndpointCrash { start, place, service, among, at: before(ago_micros) };
                 let report = CrashReport { request, ending, age_micros };
-                (self.take_report(&report, now), Vec::new())
+                (self.record_report(&report, now), Vec::new())
             }
             QuarantineMessage::Answered { request, ago_micros } => {
                 (self.record_answered(request, before(ago_micros)), Vec::new())
@@ -203,7 +203,7 @@
     }
 
     /// Applies a quarantine that is in the store: it lasts at most its full duration from now on.
-    pub fn take_stored(
+    pub fn adopt_stored(
         &mut self,
         request: RequestKey,
         round_and_endings: (u32, u32),
@@ -224,8 +224,8 @@
     }
 
     /// Schedules a write of all quarantines, since the store may have lost them.
-    pub fn write_all_again(&mut self) {
-        self.table.write_all_again();
+    pub fn rewrite_all(&mut self) {
+        self.table.rewrite_all();
     }
 
     /// Records when a row is to be written or deleted again: never if that is done.
--- a/crates/decide/src/rollout/mod.rs
+++ b/crates/decide/src/rollout/mod.rs
@@ -9,5 +9,5 @@
 pub use rollout_evidence::{AnswerCounts, RolloutAnswer, RolloutEvidence, RolloutSums, RouteCounts, SumKey};
 pub use rollout_order::{ExposureTerms, RolloutOrder, RolloutPhase, RolloutRecord};
 pub use rollout_run::{RolloutReason, RolloutRun, RolloutStep};
-pub use rollout_table::{RolloutTable, StoredStatus, TestDraw, WaitingSums};
+pub use rollout_table::{CanaryDraw, PendingSums, RolloutTable, StoredStatus};
 pub use version_split::VersionSplit;
--- a/crates/decide/src/rollout/rollout_run.rs
+++ b/crates/decide/src/rollout/rollout_run.rs
@@ -69,7 +69,7 @@
     /// When the order was given, as estimated by this VM.
     pub since: Moment,
     /// When this VM received the order.
-    pub known_at: Moment,
+    pub received_order_at: Moment,
     /// Phase in the store's record; none if that is of another order.
     pub recorded: Option<RolloutPhase>,
     /// Present phase, as written by the VM that decides.
@@ -81,7 +81,7 @@
     /// Whether the operator withdrew the order.
     pub is_withdrawn: bool,
     /// Whether this VM has seen an endpoint of another version since the order.
-    pub has_others: bool,
+    pub has_other_versions: bool,
     /// Number of requests that this VM sent to the new version beyond its share.
     pub slack_sent: u64,
     /// Whether this VM has found the version bad, which is logged once.
@@ -95,13 +95,13 @@
             order,
             position,
             since: now,
-            known_at: now,
+            received_order_at: now,
             recorded: None,
             phase: RolloutPhase::Testing,
             phase_at: now,
             evidence: RolloutEvidence::default(),
             is_withdrawn: false,
-            has_others: false,
+            has_other_versions: false,
             slack_sent: 0,
             is_suspected: false,
         }
--- a/crates/decide/src/rollout/rollout_table.rs
+++ b/crates/decide/src/rollout/rollout_table.rs
@@ -18,7 +18,7 @@
 
 /// Counts to propagate to other VMs.
 #[derive(Clone, Debug, Default)]
-pub struct WaitingSums {
+pub struct PendingSums {
     /// Sums for the VMs of this data centre.
     pub near: RolloutSums,
     /// Sums for other data centres.
@@ -38,14 +38,14 @@
 
 /// Random draw whether a request is a canary.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TestDraw {
+pub struct CanaryDraw {
     /// A random number in `0.0..1.0`.
     pub number: f64,
     /// Whether the request was counted among those beyond the share.
     pub has_slack: bool,
 }
 
-impl TestDraw {
+impl CanaryDraw {
     /// Draw of a request that is never a canary, such as a second send.
     pub const NONE: Self = Self { number: 1.0, has_slack: false };
 }
@@ -55,11 +55,11 @@
 pub struct RolloutTable {
     runs: BTreeMap<String, RolloutRun>,
     /// Position of each service's record in the store.
-    pub records_at: BTreeMap<String, StorePosition>,
+    pub record_positions: BTreeMap<String, StorePosition>,
     /// Status of each service, for the operator.
     pub statuses: BTreeMap<String, StoredStatus>,
     /// Counts to propagate to other VMs.
-    pub sums: WaitingSums,
+    pub sums: PendingSums,
 }
 
 impl RolloutTable {
@@ -145,13 +145,14 @@
         &mut self,
         service: &str,
         terms: &ExposureTerms,
-        draw: &mut TestDraw,
+        draw: &mut CanaryDraw,
         last_canary: impl FnOnce(&str, f64) -> Option<u64>,
         slack_share: impl FnOnce(EndpointKey, &RateTerms) -> u64,
     ) -> Vec<VersionSplit> {
         // Endpoints of other versions that start after a success don't belong to this rollout.
         let run = self.runs.get_mut(service);
-        let Some(run) = run.filter(|run| run.has_others && run.phase != RolloutPhase::Succeeded) else {
+        let Some(run) = run.filter(|run| run.has_other_versions && run.phase != RolloutPhase::Succeeded)
+        else {
             return vec![VersionSplit::Any];
         };
         let target: Arc<str> = run.order.target.as_str().into();
--- a/crates/decide/src/rollout/version_split.rs
+++ b/crates/decide/src/rollout/version_split.rs
@@ -13,7 +13,7 @@
     Except(Arc<str>),
     /// Endpoints of this version.
     Only(Arc<str>),
-    /// Endpoints of this version with a [`test_order`](VersionSplit::test_order) up to a bound. A small share
+    /// Endpoints of this version with a [`canary_order`](VersionSplit::canary_order) up to a bound. A small share
     /// of the requests then loads each of these few endpoints as much as all requests will load all of them,
     /// so that a fault under load shows.
     Tested(Arc<str>, u64),
@@ -26,12 +26,12 @@
             Self::Any => true,
             Self::Except(version) => *row.entry.version != **version,
             Self::Only(version) => *row.entry.version == **version,
-            Self::Tested(version, max) => *row.entry.version == **version && Self::test_order(key) <= *max,
+            Self::Tested(version, max) => *row.entry.version == **version && Self::canary_order(key) <= *max,
         }
     }
 
     /// Returns the position of an endpoint in the canary order of its version, which is the same on all VMs.
-    pub const fn test_order(key: EndpointKey) -> u64 {
+    pub const fn canary_order(key: EndpointKey) -> u64 {
         key.0.wrapping_mul(0x9e37_79b9_7f4a_7c15)
     }
 }
--- a/crates/decide/src/weights/publication_record.rs
+++ b/crates/decide/src/weights/publication_record.rs
@@ -13,7 +13,7 @@
 
 /// Publication time of one version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamingTime {
+pub struct PublicationTime {
     /// Number of the version.
     pub version: u64,
     /// Reading of the engines' clock at its publication, in milliseconds.
@@ -26,7 +26,7 @@
     /// Short digest of the model's name.
     pub model: u64,
     /// Publications, oldest first.
-    pub namings: Vec<NamingTime>,
+    pub namings: Vec<PublicationTime>,
 }
 
 impl PublicationRecord {
@@ -45,7 +45,7 @@
     pub fn new(model: u64, weights: &PublishedWeights, clock_millis: u64, now: Moment) -> Self {
         let namings = weights.versions().iter().map(|row| {
             let age_millis = now.micros_since(row.since) / MICROS_PER_MILLI;
-            NamingTime { version: row.version, clock_millis: clock_millis.saturating_sub(age_millis) }
+            PublicationTime { version: row.version, clock_millis: clock_millis.saturating_sub(age_millis) }
         });
         Self { model, namings: namings.collect() }
     }
@@ -53,7 +53,7 @@
     /// Returns each version with its age in microseconds, at reading `clock_millis` of the engines' clock.
     pub fn ages(&self, clock_millis: u64) -> impl Iterator<Item = (u64, u64)> {
         let age_micros =
-            move |row: &NamingTime| clock_millis.saturating_sub(row.clock_millis) * MICROS_PER_MILLI;
+            move |row: &PublicationTime| clock_millis.saturating_sub(row.clock_millis) * MICROS_PER_MILLI;
         self.namings.iter().map(move |row| (row.version, age_micros(row)))
     }
 
--- a/crates/decide/src/weights/published_weights.rs
+++ b/crates/decide/src/weights/published_weights.rs
@@ -71,8 +71,8 @@
     /// let mut weights = PublishedWeights::default();
     /// weights.note(PublishedVersion { version: 2, since: Moment(5) }, 10, Moment(5));
     /// let required = weights.wanted(10).unwrap();
-    /// assert_eq!(required.last_start(1), Moment(5).after_millis(10));
-    /// assert_eq!(required.last_start(2), Moment::NEVER);
+    /// assert_eq!(required.start_deadline(1), Moment(5).after_millis(10));
+    /// assert_eq!(required.start_deadline(2), Moment::NEVER);
     /// ```
     pub fn wanted(&self, version_millis: u64) -> Option<RequiredWeights> {
         let bounds = self.0.iter().map(|row| (row.version, row.since.after_millis(version_millis)));
--- a/crates/decide/src/weights/required_weights.rs
+++ b/crates/decide/src/weights/required_weights.rs
@@ -19,10 +19,10 @@
     /// use spanfold_entity::Moment;
     /// use spanfold_decide::RequiredWeights;
     /// let required = RequiredWeights { newest: 3, bounds: vec![(2, Moment(20)), (3, Moment(10))] };
-    /// assert_eq!(required.last_start(1), Moment(10));
-    /// assert_eq!(required.last_start(3), Moment::NEVER);
+    /// assert_eq!(required.start_deadline(1), Moment(10));
+    /// assert_eq!(required.start_deadline(3), Moment::NEVER);
     /// ```
-    pub fn last_start(&self, version: u64) -> Moment {
+    pub fn start_deadline(&self, version: u64) -> Moment {
         let newer_bounds = self.bounds.iter().filter(|(published, _)| *published > version);
         newer_bounds.map(|(_, bound)| *bound).min().unwrap_or(Moment::NEVER)
     }
--- a/crates/decide/tests/crash_history.rs
+++ b/crates/decide/tests/crash_history.rs
@@ -55,7 +55,7 @@
     let mut history = CrashHistory::default();
     for born in 0..3 {
         let mut ending = ending(1, born * 4 * MICROS_PER_SECOND);
-        ending.start = EndpointKey::of_start("i-1", Some(born));
+        ending.start = EndpointKey::of_incarnation("i-1", Some(born));
         history.add_report(&report(1, ending, 60));
     }
     assert_eq!(history.crashes_of(request(1)), 3);
@@ -66,7 +66,7 @@
     let mut history = CrashHistory::default();
     for born in 0..6 {
         let mut ending = EndpointCrash { among: 1, ..ending(1, born * 4 * MICROS_PER_SECOND) };
-        ending.start = EndpointKey::of_start("i-1", Some(born));
+        ending.start = EndpointKey::of_incarnation("i-1", Some(born));
         history.add_report(&report(1, ending, 150));
     }
     assert!(is_fatal(&history, 1));
@@ -183,7 +183,13 @@
 /// Simulates endpoints and requests, each of which is sent up to `sends` times. Endpoints are chosen at
 /// random or, if `prefers_restarted`, half of the time the last restarted one, as new ones look idle. Returns
 /// the requests found fatal.
-fn play(seed: u64, endpoints: usize, sends: u32, prefers_restarted: bool, faults: &[FaultKind]) -> Vec<u64> {
+fn simulate(
+    seed: u64,
+    endpoints: usize,
+    sends: u32,
+    prefers_restarted: bool,
+    faults: &[FaultKind],
+) -> Vec<u64> {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut history = CrashHistory::default();
     let mut runs: Vec<Vec<HistoryRun>> = vec![Vec::new(); endpoints];
@@ -288,7 +294,7 @@
     sends: u32,
     prefers_restarted: bool,
 ) -> usize {
-    let found = (0..6).flat_map(|seed| play(seed, endpoints, sends, prefers_restarted, faults));
+    let found = (0..6).flat_map(|seed| simulate(seed, endpoints, sends, prefers_restarted, faults));
     found.filter(|number| *number >= 1_000).count()
 }
 
@@ -324,7 +330,7 @@
         &[FaultKind::FatalRequests(1), FaultKind::GroupCrashes(0.1)],
     ] {
         for seed in 0..6 {
-            let found = play(seed, 18, 4, true, faults);
+            let found = simulate(seed, 18, 4, true, faults);
             let count = faults.iter().find_map(|fault| match fault {
                 FaultKind::FatalRequests(count) => Some(*count),
                 _ => None,
--- a/crates/decide/tests/endpoint_answers.rs
+++ b/crates/decide/tests/endpoint_answers.rs
@@ -109,7 +109,7 @@
 
 impl ActualState {
     fn key(&self, index: usize) -> EndpointKey {
-        EndpointKey::of_start(IDS[index], Some(self.born[index]))
+        EndpointKey::of_incarnation(IDS[index], Some(self.born[index]))
     }
 }
 
@@ -136,10 +136,10 @@
                     actual.backoffs.entry(key).or_default().push((at(now), at(now + millis)));
                 }
                 table.record_backoff(key, millis, at(now));
-                table.learn(key, SendOutcome::Refused, at(now));
+                table.record_outcome(key, SendOutcome::Refused, at(now));
             }
             Step::Success(index, age) => {
-                table.learn(actual.key(index), SendOutcome::Answered, at(now));
+                table.record_outcome(actual.key(index), SendOutcome::Answered, at(now));
                 table.record_served(
                     actual.key(index),
                     at(now).min(Moment(at(now).0.saturating_sub(age * 1_000))),
@@ -194,7 +194,7 @@
 #[test]
 fn a_departure_reported_before_the_entry_is_listed_is_final() {
     let mut table = FleetTable::default();
-    let key = EndpointKey::of_start("i-1", Some(1));
+    let key = EndpointKey::of_incarnation("i-1", Some(1));
     assert!(table.record_departure(key, at(0)));
     assert!(!table.record_departure(key, at(1)));
     assert!(!table.apply_entry(entry("i-1", 1, 8), at(2)));
@@ -211,7 +211,7 @@
     for number in 0..12_000 {
         let id = format!("i-{number}");
         table.apply_entry(entry(&id, 1, 8), at(number));
-        table.record_departure(EndpointKey::of_start(&id, Some(1)), at(number));
+        table.record_departure(EndpointKey::of_incarnation(&id, Some(1)), at(number));
         table.mark_entry_missing(&id, Moment(0));
         if number % 100 == 99 {
             table.sweep(at(number));
@@ -226,11 +226,11 @@
     let mut table = FleetTable::default();
     table.set_services(&DeploymentConfig::default());
     table.apply_entry(entry("i-1", 1, 8), at(0));
-    let key = EndpointKey::of_start("i-1", Some(1));
+    let key = EndpointKey::of_incarnation("i-1", Some(1));
     assert_eq!(table.record_backoff(key, 3_000, at(0)), BackoffChange::Begun(3_000));
     // Neither a shorter backoff nor a success that arrives out of order shortens it; a longer one extends it.
     assert_eq!(table.record_backoff(key, 500, at(100)), BackoffChange::None);
-    table.learn(key, SendOutcome::Answered, at(200));
+    table.record_outcome(key, SendOutcome::Answered, at(200));
     assert!(!table.record_served(key, at(50)));
     assert_eq!(table.record_backoff(key, 3_000, at(300)), BackoffChange::Extended(3_000));
     assert!(place(&table, &request(&[]), at(3_299)).is_none());
@@ -267,7 +267,8 @@
     for id in ["i-1", "i-2"] {
         table.apply_entry(entry(id, 1, 8), at(0));
     }
-    let (key, alternative) = (EndpointKey::of_start("i-1", Some(1)), EndpointKey::of_start("i-2", Some(1)));
+    let (key, alternative) =
+        (EndpointKey::of_incarnation("i-1", Some(1)), EndpointKey::of_incarnation("i-2", Some(1)));
     let report =
         |millis| SendReport { key, outcome: SendOutcome::Refused, pace: None, rest_millis: Some(millis) };
     let is_avoided = |table: &FleetTable, millis| table.row(key).unwrap().is_ejected(at(millis));
@@ -364,7 +365,7 @@
             let now = step * interval_millis;
             if step % 20 == 0 && fleet.departed.len() < departures {
                 let id = format!("i-{}", fleet.departed.len());
-                fleet.departed.insert(EndpointKey::of_start(&id, Some(1)));
+                fleet.departed.insert(EndpointKey::of_incarnation(&id, Some(1)));
             }
             fleet.deliver(now);
             // Each VM repeats one departure every half second.
--- a/crates/decide/tests/endpoint_sample.rs
+++ b/crates/decide/tests/endpoint_sample.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
     DeploymentConfig, EndpointEntry, EndpointKey, EngineSpec, FleetTable, HomeRegions, PlacementRequest,
-    PromptSegment, ServiceRow, ShareView, VersionSplit, place, salt_text, short_digest,
+    PromptSegment, ServiceRow, ShareView, VersionSplit, format_cache_salt, place, short_digest,
 };
 use spanfold_entity::Moment;
 use std::cell::RefCell;
@@ -74,7 +74,7 @@
 fn max_at_one_engine(engines: usize) -> usize {
     let segments = [PromptSegment { key: 1, tokens: 2_500 }, PromptSegment { key: 2, tokens: 6_500 }];
     let mut table = table(engines);
-    let salt = short_digest(&salt_text("shared", "m", 1));
+    let salt = short_digest(&format_cache_salt("shared", "m", 1));
     for number in [1, 6, 11] {
         table.record_segments(EndpointKey::of(&format!("i-{number}")), &segments[..1], salt);
     }
--- a/crates/decide/tests/engine_starts.rs
+++ b/crates/decide/tests/engine_starts.rs
@@ -31,7 +31,7 @@
 }
 
 fn key(born: u64) -> EndpointKey {
-    EndpointKey::of_start("i-1", Some(born))
+    EndpointKey::of_incarnation("i-1", Some(born))
 }
 
 /// Returns a table with the incarnation started at 1,000, which `prepare` changes, and then that started at
@@ -69,7 +69,7 @@
 fn ejection_slowdown_failures_and_suspicion_do_not_carry_over_to_the_next_incarnation() {
     let table = restarted(|table| {
         for _ in 0..8 {
-            table.learn(key(1_000), SendOutcome::Broken, at(4));
+            table.record_outcome(key(1_000), SendOutcome::Broken, at(4));
             table.record_slowdown(key(1_000), 9_000, 1_000);
         }
         for vm in ["a", "b"] {
@@ -119,9 +119,9 @@
     table.raise_weights(key(1_000), spanfold_decide::short_digest("m"), 9, true, at(22));
     table.cordon_as_reported(key(1_000), at(900), true);
     table.record_segments(key(1_000), &SEGMENTS, 7);
-    table.learn(key(1_000), SendOutcome::Broken, at(23));
+    table.record_outcome(key(1_000), SendOutcome::Broken, at(23));
     let row = table.row(key(2_000)).unwrap();
-    assert!(takes_work(&table, key(2_000), 24) && !row.is_closing(at(24)));
+    assert!(takes_work(&table, key(2_000), 24) && !row.is_cordoned(at(24)));
     assert_eq!((row.entry.weights["m"], row.load(at(24)).running), (2, 0));
     assert_eq!(row.kept.leading(&SEGMENTS, 7), 0);
 }
@@ -146,11 +146,11 @@
 fn an_entry_without_a_start_time_is_ignored_where_endpoints_state_theirs() {
     let mut table = FleetTable::default();
     let undated = EndpointEntry { id: "i-2".into(), ..entry(None, 1) };
-    assert!(!table.lacks_start(&undated));
+    assert!(!table.lacks_start_time(&undated));
     table.apply_entry(undated.clone(), at(0));
     assert!(takes_work(&table, EndpointKey::of("i-2"), 1));
     table.apply_entry(entry(Some(1_000), 1), at(2));
-    assert!(table.lacks_start(&undated));
+    assert!(table.lacks_start_time(&undated));
     assert!(!takes_work(&table, EndpointKey::of("i-2"), 3) && takes_work(&table, key(1_000), 3));
     assert!(!table.apply_entry(entry(None, 9), at(4)));
     assert!(takes_work(&table, key(1_000), 5));
@@ -223,7 +223,7 @@
                 }
                 for (id, (newest, is_listed)) in expected.iter().enumerate() {
                     for born in 1..4 {
-                        let key = EndpointKey::of_start(&format!("i-{id}"), Some(born));
+                        let key = EndpointKey::of_incarnation(&format!("i-{id}"), Some(born));
                         let is_used = table.row(key).is_some_and(|row| !row.is_departing(now));
                         prop_assert!(!is_used || (born == *newest && *is_listed), "{id} {born}: {changes:?}");
                     }
@@ -236,6 +236,6 @@
 
 /// Whether an incarnation has announced its departure.
 fn has_departed(table: &FleetTable, id: usize, born: u64) -> bool {
-    let key = EndpointKey::of_start(&format!("i-{id}"), Some(born));
+    let key = EndpointKey::of_incarnation(&format!("i-{id}"), Some(born));
     table.row(key).is_some_and(|row| row.entry.draining)
 }
--- a/crates/decide/tests/fleet_table.rs
+++ b/crates/decide/tests/fleet_table.rs
@@ -120,11 +120,11 @@
     table.apply_entry(entry("i-1", 1), Moment(0));
     let key = EndpointKey::of("i-1");
     assert!(!table.is_failing("dc-a", at(0)));
-    table.learn(key, SendOutcome::Broken, at(100));
+    table.record_outcome(key, SendOutcome::Broken, at(100));
     assert!(table.is_failing("dc-a", at(200)));
     assert!(!table.is_failing("dc-b", at(200)));
     assert!(!table.is_failing("dc-a", at(4_000)), "it is tried again");
-    table.learn(key, SendOutcome::Answered, at(300));
+    table.record_outcome(key, SendOutcome::Answered, at(300));
     assert!(!table.is_failing("dc-a", at(400)));
 }
 
--- a/crates/decide/tests/kept.rs
+++ b/crates/decide/tests/kept.rs
@@ -21,7 +21,7 @@
         data_centre: "dc-a".to_owned(),
         tokens,
         link_mbps: 29_000.0,
-        first_millis: 6.0,
+        transfer_latency_millis: 6.0,
         token_bytes: 18_432,
         max_long_polls: 12,
     })
@@ -115,7 +115,7 @@
     let waiting_calls = vms as f64 * schedule.held_millis as f64 / round_millis as f64;
     assert!(waiting_calls <= f64::from(max_calls), "{waiting_calls}");
     assert!(schedule.held_millis >= 200, "shorter calls are charged");
-    assert!(schedule.counts_millis() > 2 * round_millis);
+    assert!(schedule.report_lifetime_millis() > 2 * round_millis);
 }
 
 #[test]
@@ -142,9 +142,9 @@
     let stated = row.transfer_time_micros(1_000, "dc-a", now);
     // Most VMs have transferred nothing from there; the only one that has saw a slow link.
     for name in ["vm-1", "vm-2", "vm-3"] {
-        row.set_peer(LoadSource::Vm(VmKey::of(name)), 0, None, now);
+        row.set_peer_transfers(LoadSource::Vm(VmKey::of(name)), 0, None, now);
     }
-    row.set_peer(LoadSource::Vm(VmKey::of("vm-4")), 0, Some(4.0), now);
+    row.set_peer_transfers(LoadSource::Vm(VmKey::of("vm-4")), 0, Some(4.0), now);
     assert!((row.slowdown(now) - 4.0).abs() < 1e-9);
     assert!(row.transfer_time_micros(1_000, "dc-a", now) > stated * 1.5);
     // Its report expires.
--- a/crates/decide/tests/peer_loads.rs
+++ b/crates/decide/tests/peer_loads.rs
@@ -94,7 +94,7 @@
         data_centre: "dc-a".to_owned(),
         tokens: 100_000,
         link_mbps: 29_000.0,
-        first_millis: 6.0,
+        transfer_latency_millis: 6.0,
         token_bytes: 18_432,
         max_long_polls: 12,
     };
--- a/crates/decide/tests/peer_table.rs
+++ b/crates/decide/tests/peer_table.rs
@@ -53,7 +53,7 @@
 #[test]
 fn a_vm_stays_while_it_is_listed_or_live() {
     let mut table = table();
-    assert_eq!((table.listed_count(), table.own_rank()), (4, 0));
+    assert_eq!((table.listed_count(), table.own_name_index()), (4, 0));
     table.hear(VmKey::of("vm-2"), 1, 1, at(0));
     table.unlist("vm-2", at(100));
     table.unlist("vm-3", at(100));
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -38,7 +38,7 @@
         data_centre: "dc-a".to_owned(),
         tokens: 100_000,
         link_mbps: 29_000.0,
-        first_millis: 6.0,
+        transfer_latency_millis: 6.0,
         token_bytes: 18_432,
         max_long_polls: 12,
     };
@@ -132,14 +132,14 @@
     let excluded = [key("i-2")];
     assert!(place(&table, &PlacementRequest { exclude: &excluded, ..request() }, NOW).is_none());
     // An ejected endpoint is better than none.
-    table.learn(key("i-2"), SendOutcome::Broken, NOW);
+    table.record_outcome(key("i-2"), SendOutcome::Broken, NOW);
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
 }
 
 #[test]
 fn a_broken_endpoint_is_tried_again_by_one_request_at_a_time() {
     let mut table = two_engines();
-    table.learn(key("i-1"), SendOutcome::Broken, NOW);
+    table.record_outcome(key("i-1"), SendOutcome::Broken, NOW);
     table.take(key("i-2"), load(20_000, 20_000), &[], 0);
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
     let later = NOW.after_millis(800);
@@ -230,7 +230,7 @@
     let update = CacheUpdate { incarnation: 1, changes: vec![second_segment], ..CacheUpdate::default() };
     table.store_mut(key("kept")).unwrap().replace(&update, NOW.after_millis(1_000));
     let choice = chosen(&table, &request());
-    assert_eq!((choice.kept.moved_tokens, choice.kept.held_tokens), (0, 5_000));
+    assert_eq!((choice.kept.moved_tokens, choice.kept.stored_tokens), (0, 5_000));
     assert_eq!(choice.kept.fetches, [None, None, None]);
 }
 
@@ -253,7 +253,7 @@
     let store = table.store_mut(key("kept")).unwrap();
     store.replace(&update, NOW.after_millis(1_000));
     // Transfers of other VMs keep the link busy.
-    store.set_peer(LoadSource::Vm(VmKey(7)), 230_000, None, NOW);
+    store.set_peer_transfers(LoadSource::Vm(VmKey(7)), 230_000, None, NOW);
     let choice = chosen(&table, &PlacementRequest { objective_millis, ..request() });
     assert_eq!(choice.kept.moved_tokens, moved_tokens);
 }
--- a/crates/decide/tests/propagation_plan.rs
+++ b/crates/decide/tests/propagation_plan.rs
@@ -28,7 +28,7 @@
     let (mut reached, mut max_targets) = (plan.targets.clone(), plan.targets.len());
     for relay in all.iter().filter(|vm| plan.targets.contains(&vm.address)) {
         let targets = table_of(relay, all).relay_targets(VmKey::of(&all[0].name));
-        assert!(targets.len() <= plan.relayed_count);
+        assert!(targets.len() <= plan.max_relay_targets);
         max_targets = max_targets.max(targets.len());
         reached.extend(targets);
     }
--- a/crates/decide/tests/published_weights.rs
+++ b/crates/decide/tests/published_weights.rs
@@ -24,9 +24,9 @@
 #[test]
 fn each_version_counts_by_its_own_publication() {
     let required = published(&[(2, 1_000), (3, 5_000)]).wanted(VERSION_MILLIS).unwrap();
-    assert_eq!(required.last_start(1), at(11_000));
-    assert_eq!(required.last_start(2), at(15_000));
-    assert_eq!(required.last_start(3), Moment::NEVER);
+    assert_eq!(required.start_deadline(1), at(11_000));
+    assert_eq!(required.start_deadline(2), at(15_000));
+    assert_eq!(required.start_deadline(3), Moment::NEVER);
 }
 
 #[test]
@@ -47,7 +47,7 @@
     assert_eq!(weights, published(&[(3, 2_000), (4, 9_000)]));
     let after = weights.wanted(VERSION_MILLIS).unwrap();
     for version in 1..=4 {
-        assert_eq!(now >= before.last_start(version), now >= after.last_start(version), "{version}");
+        assert_eq!(now >= before.start_deadline(version), now >= after.start_deadline(version), "{version}");
     }
 }
 
--- a/crates/decide/tests/reported_health.rs
+++ b/crates/decide/tests/reported_health.rs
@@ -106,9 +106,9 @@
 #[test]
 fn a_vm_without_answers_and_answers_of_healthy_endpoints_are_not_reported() {
     let mut table = table(2);
-    table.learn(key(0), SendOutcome::Unreached, at(0));
+    table.record_outcome(key(0), SendOutcome::Unreached, at(0));
     assert!(!table.should_propagate(&report(SendOutcome::Unreached), at(0)));
-    table.learn(key(1), SendOutcome::Answered, at(100));
+    table.record_outcome(key(1), SendOutcome::Answered, at(100));
     assert!(table.should_propagate(&report(SendOutcome::Unreached), at(200)));
     assert!(!table.should_propagate(&report(SendOutcome::Unreached), at(3_000)));
     let healthy = SendReport { key: key(1), outcome: SendOutcome::Answered, pace: None, rest_millis: None };
@@ -179,7 +179,7 @@
             let outcome =
                 if engine < UNREACHABLE_ENGINES { SendOutcome::Unreached } else { SendOutcome::Answered };
             tables[reporter].release(key(engine), load);
-            tables[reporter].learn(key(engine), outcome, now);
+            tables[reporter].record_outcome(key(engine), outcome, now);
             let report = SendReport { key: key(engine), outcome, pace: None, rest_millis: None };
             if reports_sends && tables[reporter].should_propagate(&report, now) {
                 for (_, table) in tables.iter_mut().enumerate().filter(|(number, _)| *number != reporter) {
--- a/crates/decide/tests/request_quarantine.rs
+++ b/crates/decide/tests/request_quarantine.rs
@@ -34,7 +34,7 @@
 fn record_three_crashes(quarantine: &mut RequestQuarantine, first: u64, at: Moment) -> Vec<QuarantineChange> {
     for row in 0..3 {
         let at = Moment(at.0 - (2 - row) * MICROS_PER_SECOND);
-        assert!(quarantine.take_report(&report(1, first + row, at), at));
+        assert!(quarantine.record_report(&report(1, first + row, at), at));
     }
     evaluate(quarantine, at)
 }
@@ -58,7 +58,7 @@
     assert!(!is_quarantined(&quarantine, 1, over_at));
     assert_eq!(quarantine.sweep(over_at).len(), 1);
     let next_crash = Moment(over_at.0 + 30 * MICROS_PER_SECOND);
-    quarantine.take_report(&report(1, 20, next_crash), next_crash);
+    quarantine.record_report(&report(1, 20, next_crash), next_crash);
     let changes = evaluate(&mut quarantine, next_crash);
     assert!(matches!(changes[..], [QuarantineChange::Begun { round: 2, .. }]), "{changes:?}");
     assert!(is_quarantined(&quarantine, 1, Moment(next_crash.0 + EVIDENCE_DELAY_MICROS)));
@@ -74,7 +74,7 @@
     assert!(quarantine.record_answered(request(1), over_at));
     assert!(quarantine.is_idle());
     let later = Moment(over_at.0 + MICROS_PER_SECOND);
-    quarantine.take_report(&report(1, 20, later), later);
+    quarantine.record_report(&report(1, 20, later), later);
     assert_eq!(evaluate(&mut quarantine, later), Vec::new());
 }
 
@@ -105,7 +105,7 @@
     quarantine.sweep(Moment(100 * MICROS_PER_SECOND));
     quarantine
         .apply_quarantine_message(&held_message(60 * MICROS_PER_SECOND), Moment(101 * MICROS_PER_SECOND));
-    assert_eq!(quarantine.take_stored(request(1), (1, 3), Moment(101 * MICROS_PER_SECOND)), Vec::new());
+    assert_eq!(quarantine.adopt_stored(request(1), (1, 3), Moment(101 * MICROS_PER_SECOND)), Vec::new());
     assert!(!is_quarantined(&quarantine, 1, Moment(102 * MICROS_PER_SECOND)));
 }
 
@@ -143,7 +143,7 @@
     let begun_at = Moment(1_000 * MICROS_PER_SECOND);
     record_three_crashes(&mut informed, 10, begun_at);
     let at = Moment(begun_at.0 + MICROS_PER_SECOND);
-    informed.take_report(&report(2, 40, at), at);
+    informed.record_report(&report(2, 40, at), at);
     repeat_messages(&mut informed, &mut uninformed, at, 32);
     assert!(is_quarantined(&uninformed, 1, Moment(at.0 + 32 * MICROS_PER_SECOND)));
     assert_eq!((uninformed.crashes_of(request(1)), uninformed.crashes_of(request(2))), (3, 1));
@@ -153,9 +153,9 @@
 fn evidence_from_both_sides_of_a_partition_adds_up() {
     let (mut first_vm, mut second_vm) = (RequestQuarantine::default(), RequestQuarantine::default());
     let at = |seconds: u64| Moment(seconds * MICROS_PER_SECOND);
-    first_vm.take_report(&report(1, 10, at(100)), at(100));
-    second_vm.take_report(&report(1, 11, at(101)), at(101));
-    first_vm.take_report(&report(1, 12, at(102)), at(102));
+    first_vm.record_report(&report(1, 10, at(100)), at(100));
+    second_vm.record_report(&report(1, 11, at(101)), at(101));
+    first_vm.record_report(&report(1, 12, at(102)), at(102));
     assert!(!is_quarantined(&first_vm, 1, at(103)) && !is_quarantined(&second_vm, 1, at(103)));
     // The partition heals minutes later.
     repeat_messages(&mut first_vm, &mut second_vm, at(300), 16);
@@ -179,13 +179,13 @@
         rest_micros: 60 * MICROS_PER_SECOND,
     };
     first_vm.apply_quarantine_message(&message, released_at);
-    first_vm.take_stored(request(1), (1, 3), released_at);
+    first_vm.adopt_stored(request(1), (1, 3), released_at);
     assert!(!is_quarantined(&first_vm, 1, released_at));
     repeat_messages(&mut first_vm, &mut second_vm, released_at, 8);
     assert!(!is_quarantined(&second_vm, 1, Moment(released_at.0 + 9 * MICROS_PER_SECOND)));
     // A VM that starts meanwhile reads it from the store.
     let mut restarted = RequestQuarantine::default();
-    restarted.take_stored(request(1), (1, 3), released_at);
+    restarted.adopt_stored(request(1), (1, 3), released_at);
     assert!(is_quarantined(&restarted, 1, released_at));
     repeat_messages(&mut second_vm, &mut restarted, Moment(released_at.0 + 10 * MICROS_PER_SECOND), 8);
     assert!(!is_quarantined(&restarted, 1, Moment(released_at.0 + 20 * MICROS_PER_SECOND)));
@@ -202,14 +202,14 @@
     for row in 0..4 {
         let at = Moment((100 + row) * MICROS_PER_SECOND);
         let older_report = CrashReport { age_micros: 90_000, ..report(2, 10 + row, at) };
-        quarantine.take_report(&older_report, at);
-        quarantine.take_report(&report(1, 10 + row, at), at);
+        quarantine.record_report(&older_report, at);
+        quarantine.record_report(&report(1, 10 + row, at), at);
         quarantine.evaluate_due(Moment(at.0 + EVIDENCE_DELAY_MICROS));
     }
     let at = Moment(104 * MICROS_PER_SECOND);
     assert!(is_quarantined(&quarantine, 1, at) && !is_quarantined(&quarantine, 2, at));
     let at = Moment(106 * MICROS_PER_SECOND);
-    quarantine.take_report(&report(2, 20, at), at);
+    quarantine.record_report(&report(2, 20, at), at);
     let changes = evaluate(&mut quarantine, at);
     assert!(
         matches!(changes[..], [QuarantineChange::Begun { .. }, QuarantineChange::Lifted { .. }]),
@@ -235,7 +235,7 @@
     second_vm.apply_quarantine_message(&message, begun_at);
     assert_eq!(second_vm.due_write(begun_at), None);
     assert!(second_vm.due_write(Moment(begun_at.0 + 2 * MICROS_PER_SECOND)).is_some());
-    second_vm.take_stored(request(1), (1, 3), Moment(begun_at.0 + 2 * MICROS_PER_SECOND));
+    second_vm.adopt_stored(request(1), (1, 3), Moment(begun_at.0 + 2 * MICROS_PER_SECOND));
     assert_eq!(second_vm.due_write(Moment(begun_at.0 + 3 * MICROS_PER_SECOND)), None);
 }
 
@@ -249,7 +249,7 @@
     quarantine.lift(due, at);
     // The write completes, and the store reports it.
     quarantine.record_written(due, &row, Moment::NEVER);
-    quarantine.take_stored(due, (row.round, row.endings), at);
+    quarantine.adopt_stored(due, (row.round, row.endings), at);
     let (due, row) = quarantine.due_write(at).unwrap();
     assert_eq!((due, row.phase), (request(1), QuarantinePhase::Lifted));
     quarantine.record_written(due, &row, Moment::NEVER);
@@ -274,7 +274,7 @@
     let begun_at = Moment(1_000 * MICROS_PER_SECOND);
     let before = Moment(800 * MICROS_PER_SECOND);
     for number in 2..500 {
-        quarantine.take_report(&report(number, number, before), before);
+        quarantine.record_report(&report(number, number, before), before);
     }
     record_three_crashes(&mut quarantine, 1_000, begun_at);
     let messages: Vec<_> = (0..100)
--- a/crates/decide/tests/rollout.rs
+++ b/crates/decide/tests/rollout.rs
@@ -8,8 +8,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use spanfold_decide::{
-    ExposureTerms, RateTerms, RolloutAnswer, RolloutOrder, RolloutPhase, RolloutReason, RolloutRecord,
-    RolloutTable, RouteCounts, ShareRight, StorePosition, SumKey, TestDraw, VersionSplit, VmKey,
+    CanaryDraw, ExposureTerms, RateTerms, RolloutAnswer, RolloutOrder, RolloutPhase, RolloutReason,
+    RolloutRecord, RolloutTable, RouteCounts, ShareRight, StorePosition, SumKey, VersionSplit, VmKey,
 };
 use spanfold_entity::Moment;
 use std::collections::{BTreeSet, VecDeque};
@@ -93,7 +93,7 @@
 fn new_table(now: u64) -> RolloutTable {
     let mut table = RolloutTable::default();
     table.order(order(), position(5), at(now));
-    table.run_mut("desk").unwrap().has_others = true;
+    table.run_mut("desk").unwrap().has_other_versions = true;
     table
 }
 
@@ -103,7 +103,7 @@
         let right = |own: usize| ShareRight {
             own: keys[own],
             data_centre: "dc-a".to_owned(),
-            is_fresh: true,
+            is_list_current: true,
             near: Vec::new(),
             all: keys.iter().copied().filter(|key| *key != keys[own]).collect(),
             remote_data_centres: BTreeSet::new(),
@@ -123,7 +123,7 @@
 
     fn request(&mut self, vm: usize, fault: Fault, now: u64, outcome: &mut HistoryOutcome) {
         let route = self.rng.random_range(1..=3_u64);
-        let mut draw = TestDraw { number: self.rng.random(), has_slack: false };
+        let mut draw = CanaryDraw { number: self.rng.random(), has_slack: false };
         let right = &self.rights[vm];
         let slack_share = |key, terms: &RateTerms| right.share_of_total(key, terms);
         let splits = self.vms[vm].splits("desk", &TERMS, &mut draw, |_, _| Some(u64::MAX), slack_share);
@@ -221,7 +221,7 @@
         }
     }
 
-    fn play(&mut self, fault: Fault) -> HistoryOutcome {
+    fn simulate(&mut self, fault: Fault) -> HistoryOutcome {
         let mut outcome = HistoryOutcome::default();
         for now in (0..DURATION_MILLIS).step_by(STEP_MILLIS as usize) {
             self.step(fault, now, &mut outcome);
@@ -257,7 +257,7 @@
     for (vms, requests_per_s) in [(9, 200), (71, 860), (300, 900)] {
         for (number, fault) in FAULTS.into_iter().enumerate() {
             for seed in 0..3 {
-                let outcome = Fleet::new(vms, requests_per_s, seed * 100 + number as u64).play(fault);
+                let outcome = Fleet::new(vms, requests_per_s, seed * 100 + number as u64).simulate(fault);
                 let context = format!("{vms} VMs, {fault:?}, seed {seed}: {outcome:?}");
                 assert_within_exposure(&outcome, &context);
                 assert_eq!(
@@ -277,7 +277,7 @@
             let mut fleet = Fleet::new(vms, requests_per_s, seed);
             // The present version may be worse than the new one, and both may fail.
             fleet.old_failures = [0.0, 0.01, 0.14, 0.4][seed as usize % 4];
-            let outcome = fleet.play(Fault::None);
+            let outcome = fleet.simulate(Fault::None);
             let context = format!("{vms} VMs, seed {seed}: {outcome:?}");
             assert_eq!(
                 (outcome.phase, outcome.reason),
@@ -295,7 +295,7 @@
         for fault in FAULTS {
             let mut fleet = Fleet::new(71, 860, seed);
             fleet.restarts_vms = true;
-            let outcome = fleet.play(fault);
+            let outcome = fleet.simulate(fault);
             assert_within_exposure(&outcome, &format!("{fault:?}, seed {seed}: {outcome:?}"));
         }
     }
@@ -303,9 +303,9 @@
 
 #[test]
 fn service_with_few_requests_is_tested_by_the_slack() {
-    let outcome = Fleet::new(71, 20, 1).play(Fault::None);
+    let outcome = Fleet::new(71, 20, 1).simulate(Fault::None);
     assert_eq!(outcome.phase, RolloutPhase::Succeeded, "{outcome:?}");
-    let outcome = Fleet::new(71, 20, 2).play(Fault::Fails { fraction: 1.0, routes: 3, from: 0 });
+    let outcome = Fleet::new(71, 20, 2).simulate(Fault::Fails { fraction: 1.0, routes: 3, from: 0 });
     assert_within_exposure(&outcome, "few requests");
     assert_eq!(outcome.phase, RolloutPhase::RolledBack, "{outcome:?}");
 }
@@ -364,7 +364,7 @@
     for phase in [RolloutPhase::Testing, RolloutPhase::Moving, RolloutPhase::Succeeded] {
         assert!(!table.apply(&record(phase), at(6_000)), "{phase:?}");
     }
-    let mut draw = TestDraw { number: 0.0, has_slack: false };
+    let mut draw = CanaryDraw { number: 0.0, has_slack: false };
     let splits = table.splits("desk", &TERMS, &mut draw, |_, _| Some(u64::MAX), |_, _| 20);
     assert_eq!(splits, [VersionSplit::Except("v2".into())]);
     // Created from its record alone, as at a VM that starts after the order was withdrawn.
--- a/crates/decide/tests/share_queue.rs
+++ b/crates/decide/tests/share_queue.rs
@@ -3,7 +3,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use spanfold_decide::{QueueOrder, ShareCapacity, ShareQueue, ShareVerdict};
+use spanfold_decide::{QueueEntry, ShareCapacity, ShareQueue, ShareVerdict};
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
 
@@ -14,8 +14,8 @@
     Moment(millis * 1_000)
 }
 
-fn queue_entry(number: u64, rank: u8, account: &str, millis: u64) -> QueueOrder {
-    QueueOrder {
+fn queue_entry(number: u64, rank: u8, account: &str, millis: u64) -> QueueEntry {
+    QueueEntry {
         number,
         rank,
         account: account.to_owned(),
@@ -129,7 +129,7 @@
 fn simulate(per_s: f64, accounts: &[(&'static str, u8, f64)]) -> BTreeMap<&'static str, AccountTotals> {
     let mut random = SmallRng::seed_from_u64(11);
     let (mut queue, mut totals_by_account) = (ShareQueue::default(), BTreeMap::<_, AccountTotals>::new());
-    let (mut waiting, mut next_at, mut number) = (Vec::<(&'static str, QueueOrder)>::new(), at(0), 0);
+    let (mut waiting, mut next_at, mut number) = (Vec::<(&'static str, QueueEntry)>::new(), at(0), 0);
     for step in 0..6_000 {
         let now = at(step * 10);
         for &(account, rank, rate) in accounts {
--- a/crates/decide/tests/shared_fleet/mod.rs
+++ b/crates/decide/tests/shared_fleet/mod.rs
@@ -24,11 +24,11 @@
 const FAULT_EFFECT_MILLIS: u64 = 3_000;
 
 /// Returns how many requests a VM may send to the endpoint in the current window.
-pub type ShareWay = fn(&FleetVm, &Scene, Moment) -> u64;
+pub type ShareRule = fn(&SimulatedVm, &SharedEndpoint, Moment) -> u64;
 
 /// Endpoint and its limit.
 #[derive(Clone, Copy, Debug)]
-pub struct Scene {
+pub struct SharedEndpoint {
     pub endpoint: EndpointKey,
     pub data_centre: &'static str,
     pub terms: RateTerms,
@@ -38,7 +38,7 @@
 
 /// Faults that are injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum InjectedFault {
     None,
     /// VMs are cut off from the store, many at once and for up to a minute, and continue to serve.
     Cuts,
@@ -49,7 +49,7 @@
 
 /// One VM with its view of the others.
 #[derive(Debug)]
-pub struct FleetVm {
+pub struct SimulatedVm {
     pub standing: ListMembership,
     /// Its right, as of its last update.
     pub right: ShareRight,
@@ -69,7 +69,7 @@
     frozen_until: Moment,
 }
 
-impl FleetVm {
+impl SimulatedVm {
     fn new(entry: &VmEntry, number: usize, now: Moment) -> Self {
         let own = VmKey::of(&entry.name);
         Self {
@@ -100,7 +100,13 @@
     }
 
     /// Renews its lease, and applies the list as the store contained it a short time ago.
-    fn poll_store(&mut self, store: &mut StoreList, random: &mut SmallRng, scene: &Scene, now: Moment) {
+    fn poll_store(
+        &mut self,
+        store: &mut StoreList,
+        random: &mut SmallRng,
+        scene: &SharedEndpoint,
+        now: Moment,
+    ) {
         if now < self.cut_until || now < store.unavailable_until {
             return;
         }
@@ -108,7 +114,8 @@
         if now >= self.next_renewal_at {
             self.next_renewal_at = now.after_millis(RENEWAL_INTERVAL_MILLIS[lease_index]);
             store.renew(self.number, LEASE_MILLIS[lease_index], now);
-            self.standing.list_until(now.after_millis(LEASE_MILLIS[lease_index] - LEASE_MARGIN_MILLIS), now);
+            self.standing
+                .record_listing(now.after_millis(LEASE_MILLIS[lease_index] - LEASE_MARGIN_MILLIS), now);
         }
         if now >= self.next_update_at {
             self.next_update_at = now.after_millis(random.random_range(100..MAX_UPDATE_MILLIS));
@@ -178,13 +185,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointLoad {
     pub most: usize,
-    pub most_in_touch: usize,
+    pub max_unaffected: usize,
     pub mean: f64,
 }
 
 /// State of the simulated deployment.
 struct Fleet {
-    vms: Vec<FleetVm>,
+    vms: Vec<SimulatedVm>,
     centres: usize,
     /// Number of VMs that were ever added.
     added: usize,
@@ -199,22 +206,22 @@
             incarnation: 1,
             link_mbps: 100,
         };
-        self.vms.push(FleetVm::new(&entry, self.added, now));
+        self.vms.push(SimulatedVm::new(&entry, self.added, now));
         store.rows.push((entry, EntrySpans::new()));
         self.added += 1;
     }
 }
 
 /// Simulates `seconds` of `vms` VMs in `centres` data centres that all send as much as `share_rule` allows.
-pub fn play(
-    share_rule: ShareWay,
+pub fn simulate(
+    share_rule: ShareRule,
     (vms, centres): (usize, usize),
-    scene: &Scene,
-    faults: Trouble,
+    scene: &SharedEndpoint,
+    faults: InjectedFault,
     (seconds, seed): (u64, u64),
 ) -> EndpointLoad {
     let mut random = SmallRng::seed_from_u64(seed);
-    let scene = Scene { endpoint: EndpointKey(random.random()), ..*scene };
+    let scene = SharedEndpoint { endpoint: EndpointKey(random.random()), ..*scene };
     let mut store = StoreList::default();
     let start = Moment(60_000_000);
     let mut fleet = Fleet { vms: Vec::new(), centres, added: 0 };
@@ -222,13 +229,13 @@
         fleet.add(&mut store, start);
     }
     let mut sent: VecDeque<(Moment, bool)> = VecDeque::new();
-    let (mut most, mut most_in_touch, mut total) = (0, 0, 0_u32);
+    let (mut most, mut max_unaffected, mut total) = (0, 0, 0_u32);
     for step in 0..seconds * 1_000 / STEP_MILLIS {
         let now = start.after_millis(step * STEP_MILLIS);
-        if faults == Trouble::Any && random.random_bool(0.01) {
+        if faults == InjectedFault::Any && random.random_bool(0.01) {
             inject_fault(&mut fleet, &mut store, &mut random, now);
         }
-        if faults == Trouble::Cuts && random.random_bool(0.001) {
+        if faults == InjectedFault::Cuts && random.random_bool(0.001) {
             let until = now.after_millis(random.random_range(500..60_000));
             cut_off_vms(&mut fleet, &mut random, until);
         }
@@ -245,9 +252,9 @@
             sent.pop_front();
         }
         most = most.max(sent.len());
-        most_in_touch = most_in_touch.max(sent.iter().filter(|(_, is_unaffected)| *is_unaffected).count());
+        max_unaffected = max_unaffected.max(sent.iter().filter(|(_, is_unaffected)| *is_unaffected).count());
     }
-    EndpointLoad { most, most_in_touch, mean: f64::from(total) / seconds as f64 }
+    EndpointLoad { most, max_unaffected, mean: f64::from(total) / seconds as f64 }
 }
 
 /// Cuts a random share of the VMs off from the store.
@@ -283,8 +290,11 @@
         match kind {
             0 => {
                 // A restarted process has no state, and its VM keeps its name.
-                let restarted = FleetVm::new(vm.peer_table.own(), vm.number, now);
-                *vm = FleetVm { down_until: now.after_millis(random.random_range(300..3_000)), ..restarted };
+                let restarted = SimulatedVm::new(vm.peer_table.own(), vm.number, now);
+                *vm = SimulatedVm {
+                    down_until: now.after_millis(random.random_range(300..3_000)),
+                    ..restarted
+                };
             }
             1 | 2 => vm.cut_until = until,
             _ => vm.frozen_until = now.after_millis(random.random_range(300..4_000)),
--- a/crates/decide/tests/shared_rate.rs
+++ b/crates/decide/tests/shared_rate.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use shared_fleet::{FleetVm, Scene, Trouble, play};
+use shared_fleet::{InjectedFault, SharedEndpoint, SimulatedVm, simulate};
 use spanfold_decide::{
     ColdSpec, ColdTerms, DeploymentConfig, EndpointEntry, EndpointKey, FleetTable, LimitReport, RateTerms,
     ServiceRow, ShareRight, ShareView, VmKey,
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 /// Cold start of an endpoint, as specified.
-const SPEC: ColdSpec = ColdSpec { start_millis: 3_000, per_s: 11.0 };
+const SPEC: ColdSpec = ColdSpec { default_cold_millis: 3_000, per_s: 11.0 };
 const TERMS: ColdTerms = ColdTerms { overrun: 1.5, slack: 5.0 };
 /// Requests per second that the specification allows all VMs together: 11 times 1.5, and 5.
 const MAX_COLD_PER_S: usize = 21;
@@ -21,14 +21,17 @@
 const LIMIT_SPAN_MILLIS: u64 = 4_000;
 
 /// The implemented rule.
-fn own_share(vm: &FleetVm, scene: &Scene, now: Moment) -> u64 {
-    let may_send =
-        if scene.terms.needs_current_list { vm.standing.is_fresh(now) } else { vm.standing.holds(now) };
+fn own_share(vm: &SimulatedVm, scene: &SharedEndpoint, now: Moment) -> u64 {
+    let may_send = if scene.terms.needs_current_list {
+        vm.standing.is_list_current(now)
+    } else {
+        vm.standing.holds(now)
+    };
     if may_send { vm.part } else { 0 }
 }
 
-fn cold_scene() -> Scene {
-    Scene {
+fn cold_scene() -> SharedEndpoint {
+    SharedEndpoint {
         endpoint: EndpointKey(0),
         data_centre: "dc-0",
         terms: RateTerms::of_cold(SPEC, TERMS),
@@ -36,8 +39,8 @@
     }
 }
 
-fn limit_scene(per_s: f64, data_centre: &'static str) -> Scene {
-    Scene {
+fn limit_scene(per_s: f64, data_centre: &'static str) -> SharedEndpoint {
+    SharedEndpoint {
         endpoint: EndpointKey(0),
         data_centre,
         terms: RateTerms::of_limit(per_s),
@@ -54,7 +57,7 @@
 #[test]
 fn without_faults_a_cold_endpoint_gets_the_rate_it_sustains() {
     for vms in [1, 2, 3, 5, 9, 24, 59, 84] {
-        let load = play(own_share, (vms, 1), &cold_scene(), Trouble::None, (30, vms as u64));
+        let load = simulate(own_share, (vms, 1), &cold_scene(), InjectedFault::None, (30, vms as u64));
         assert!(load.most <= 10, "{vms} VMs: {load:?}");
         // 27 of 30 seconds, since VMs wait until their entries are recorded.
         assert!(load.mean >= 7.0, "{vms} VMs: {load:?}");
@@ -77,7 +80,7 @@
     for per_s in limits {
         for data_centre in ["dc-0", "dc-without-vms"] {
             let scene = limit_scene(*per_s, data_centre);
-            let load = play(own_share, size, &scene, Trouble::None, (seconds, size.0 as u64));
+            let load = simulate(own_share, size, &scene, InjectedFault::None, (seconds, size.0 as u64));
             // The platform would allow half as many more, and 5.
             let max_in_span = (per_s * 4.0).floor() as usize + per_s.ceil() as usize;
             assert!(
@@ -97,7 +100,7 @@
 
     #[test]
     fn no_fault_makes_vms_exceed_the_rate_of_a_cold_endpoint(vms in 1_usize..90, seed in any::<u64>()) {
-        let load = play(own_share, (vms, 1), &cold_scene(), Trouble::Any, (90, seed));
+        let load = simulate(own_share, (vms, 1), &cold_scene(), InjectedFault::Any, (90, seed));
         prop_assert!(load.most <= MAX_COLD_PER_S, "{:?}", load);
     }
 
@@ -110,8 +113,8 @@
         seed in any::<u64>(),
     ) {
         let data_centre = if is_remote { "dc-without-vms" } else { "dc-0" };
-        let load = play(own_share, (vms, centres), &limit_scene(per_s, data_centre), Trouble::Any, (90, seed));
-        prop_assert!(load.most_in_touch <= limit_allowed(per_s), "{} a second: {:?}", per_s, load);
+        let load = simulate(own_share, (vms, centres), &limit_scene(per_s, data_centre), InjectedFault::Any, (90, seed));
+        prop_assert!(load.max_unaffected <= limit_allowed(per_s), "{} a second: {:?}", per_s, load);
     }
 
     /// VMs that are cut off keep their shares, and no other VM takes them over. The sum stays within the
@@ -122,7 +125,7 @@
         per_s in prop_oneof![0.1..1.0, 1.0..3.0, 3.0..40.0],
         seed in any::<u64>(),
     ) {
-        let load = play(own_share, (vms, 1), &limit_scene(per_s, "dc-0"), Trouble::Cuts, (150, seed));
+        let load = simulate(own_share, (vms, 1), &limit_scene(per_s, "dc-0"), InjectedFault::Cuts, (150, seed));
         prop_assert!(load.most <= limit_allowed(per_s), "{} a second: {:?}", per_s, load);
     }
 }
--- a/crates/gateway/src/peers/kept_task.rs
+++ b/crates/gateway/src/peers/kept_task.rs
@@ -84,7 +84,7 @@
     let call = (gateway.dialect.kept.list)();
     let update = poll(gateway, key, link, &call, LIST_TIMEOUT, gateway.dialect.kept.read_list).await.ok()?;
     gateway.set_engine_clock(update.clock_millis);
-    let report_deadline = gateway.now().after_millis(poll_schedule(gateway, spec).counts_millis());
+    let report_deadline = gateway.now().after_millis(poll_schedule(gateway, spec).report_lifetime_millis());
     if let Some(row) = gateway.table().store_mut(key) {
         row.replace(&update, report_deadline);
     }
@@ -118,7 +118,7 @@
         Err(PollFailure::Lost) => return None,
     };
     gateway.set_engine_clock(update.clock_millis);
-    let report_deadline = gateway.now().after_millis(schedule.counts_millis());
+    let report_deadline = gateway.now().after_millis(schedule.report_lifetime_millis());
     {
         let mut table = gateway.table();
         let row = table.store_mut(key)?;
--- a/crates/gateway/src/peers/load_digest.rs
+++ b/crates/gateway/src/peers/load_digest.rs
@@ -83,7 +83,7 @@
         let now = gateway.now();
         let table = gateway.table();
         let loads = table.loads_of(|_| false, now);
-        let transfers = table.moves_of(|_| false, now);
+        let transfers = table.transfers_of(|_| false, now);
         Self::build(gateway, &table, DigestScope::Vm, messages, loads, transfers)
     }
 
@@ -102,7 +102,7 @@
         let now = gateway.now();
         let table = gateway.table();
         let loads = table.loads_of(|vm| local_vms.contains(&vm), now);
-        let transfers = table.moves_of(|vm| local_vms.contains(&vm), now);
+        let transfers = table.transfers_of(|vm| local_vms.contains(&vm), now);
         Self::build(gateway, &table, DigestScope::DataCentre, messages, loads, transfers)
     }
 
@@ -266,7 +266,9 @@
         DigestScope::DataCentre => source != CordonSource::Remote,
         DigestScope::Elsewhere => source == CordonSource::Remote,
     };
-    let cordoned = table.changing().filter(|(_, row)| row.is_closing(now) && is_reported(row.cordoned_by));
+    let cordoned = table
+        .rows_with_changing_weights()
+        .filter(|(_, row)| row.is_cordoned(now) && is_reported(row.cordoned_by));
     cordoned.map(|(key, row)| (key, row.cordoned_until.micros_since(now))).collect()
 }
 
@@ -274,7 +276,7 @@
 fn observed_weights(table: &FleetTable, scope: DigestScope, now: Moment) -> Vec<(EndpointKey, u64, u64)> {
     let is_recent =
         |at: Option<Moment>| at.is_some_and(|at| now < at.after_millis(WEIGHTS_PROPAGATION_MILLIS));
-    let rows = table.changing().filter(|(_, row)| match scope {
+    let rows = table.rows_with_changing_weights().filter(|(_, row)| match scope {
         DigestScope::Vm => is_recent(row.observed_weights_at),
         DigestScope::DataCentre => is_recent(row.observed_weights_at) || is_recent(row.reported_weights_at),
         DigestScope::Elsewhere => is_recent(row.remote_weights_at),
--- a/crates/gateway/src/quarantine/quarantine_desk.rs
+++ b/crates/gateway/src/quarantine/quarantine_desk.rs
@@ -81,7 +81,7 @@
     pub(crate) fn take_own_report(&self, report: &CrashReport, send: &BrokenSend, endpoint: &str) {
         let now = self.now();
         let mut tracker = self.desk();
-        if !tracker.quarantine.take_report(report, now) {
+        if !tracker.quarantine.record_report(report, now) {
             return;
         }
         let crash_count = tracker.quarantine.crashes_of(report.request);
@@ -157,7 +157,7 @@
         let changes = {
             let mut tracker = self.desk();
             tracker.describe(request, &stored.request);
-            tracker.quarantine.take_stored(request, (stored.round, stored.endings), self.now())
+            tracker.quarantine.adopt_stored(request, (stored.round, stored.endings), self.now())
         };
         self.publish_changes(&changes);
     }
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -16,8 +16,8 @@
 use crate::rollout::VersionedSend;
 use crate::salted_key;
 use crate::{
-    AdmissionVerdict, EndpointKey, FleetTable, PlacementChoice, PlacementRequest, SendOutcome, ShareVerdict,
-    ShareView, TestDraw, VersionSplit, claim_probability, salt_text, short_digest,
+    AdmissionVerdict, CanaryDraw, EndpointKey, FleetTable, PlacementChoice, PlacementRequest, SendOutcome,
+    ShareVerdict, ShareView, VersionSplit, claim_probability, format_cache_salt, short_digest,
 };
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -193,7 +193,7 @@
             draw: rand::random,
         };
         // A second send is no canary: it would be another request to a version that may be bad.
-        let mut draw = if self.tried.is_empty() { self.canary_draw } else { TestDraw::NONE };
+        let mut draw = if self.tried.is_empty() { self.canary_draw } else { CanaryDraw::NONE };
         let splits = gateway.version_splits(&context.service, &mut draw);
         self.canary_draw.has_slack |= draw.has_slack;
         let admit = |choice: &PlacementChoice| {
@@ -226,7 +226,7 @@
         let transfers: Vec<_> = choice.kept.moves(&context.segments).collect();
         let (endpoint, address) = {
             let mut table = gateway.table();
-            let is_limited = table.takes_few(choice.key, gateway.now());
+            let is_limited = table.takes_few_requests(choice.key, gateway.now());
             if !table.consume_share(choice.key, &shares, gateway.now()) {
                 return Some(PlaceResult::WaitForShare(gateway.now()));
             }
@@ -266,7 +266,7 @@
     fn is_next_for(&self, choice: &PlacementChoice) -> bool {
         let gateway = &self.gateway;
         let now = gateway.now();
-        !gateway.table().takes_few(choice.key, now)
+        !gateway.table().takes_few_requests(choice.key, now)
             || gateway.shares.queue().is_next_in_queue(&self.context.service, &self.queue_order, now)
     }
 
@@ -325,7 +325,7 @@
             && let Some(model) = &context.model
         {
             let version = choice.version.unwrap_or(0);
-            set(&names.cache_salt, salt_text(&context.isolation_scope, model, version).as_bytes());
+            set(&names.cache_salt, format_cache_salt(&context.isolation_scope, model, version).as_bytes());
             if choice.version.is_some() {
                 set(&names.expect_version, version.to_string().as_bytes());
                 self.set_transfers(choice, &mut set);
@@ -456,7 +456,9 @@
     /// Whether the chosen endpoint still takes requests.
     fn is_accepting(&self, flight: &SendFlight) -> bool {
         let (table, now) = (self.gateway.table(), self.gateway.now());
-        table.row(flight.key).is_none_or(|row| !row.has_announced_end() && !row.rest.is_backing_off(now))
+        table
+            .row(flight.key)
+            .is_none_or(|row| !row.has_announced_departure() && !row.rest.is_backing_off(now))
     }
 
     fn record_sent(&mut self) {
@@ -470,7 +472,7 @@
         let version = self.choice.as_ref().and_then(|choice| choice.version);
         let required = self.context.model.as_deref().and_then(|model| self.gateway.required_weights(model));
         let (Some(version), Some(required)) = (version, required) else { return Moment::NEVER };
-        match required.last_start(version) {
+        match required.start_deadline(version) {
             Moment::NEVER => Moment::NEVER,
             last => Moment(last.0.saturating_sub(CANCELLATION_MARGIN_MILLIS * MICROS_PER_MILLI)),
         }
--- a/crates/gateway/src/requests/flight.rs
+++ b/crates/gateway/src/requests/flight.rs
@@ -137,7 +137,7 @@
     /// Records a refusal, with the backoff that the endpoint requested.
     pub(crate) fn record_refusal(&self, backoff_millis: Option<u64>) {
         let outcome = SendOutcome::Refused;
-        self.gateway.table().learn(self.key, outcome, self.gateway.now());
+        self.gateway.table().record_outcome(self.key, outcome, self.gateway.now());
         self.gateway.record_send(SendReport {
             key: self.key,
             outcome,
@@ -148,7 +148,7 @@
 
     /// Records the outcome of the send.
     pub(crate) fn record_outcome(&self, outcome: SendOutcome) {
-        self.gateway.table().learn(self.key, outcome, self.gateway.now());
+        self.gateway.table().record_outcome(self.key, outcome, self.gateway.now());
         if let Some(send) = &self.versioned {
             self.gateway.observe_version(send, outcome);
         }
--- a/crates/gateway/src/requests/request_context.rs
+++ b/crates/gateway/src/requests/request_context.rs
@@ -149,7 +149,7 @@
 ) -> Result<Option<&'a AccountRow>, OwnAnswer> {
     let key = header_text(headers, &hyper::header::AUTHORIZATION).and_then(gateway.dialect.decode.caller_key);
     let account = key.and_then(|key| table.account(key));
-    if account.is_none() && table.asks_for_keys() && !route.public {
+    if account.is_none() && table.requires_keys() && !route.public {
         return Err(OwnAnswer::plain(StatusCode::UNAUTHORIZED, "no such key"));
     }
     Ok(account)
--- a/crates/gateway/src/requests/request_run.rs
+++ b/crates/gateway/src/requests/request_run.rs
@@ -12,8 +12,8 @@
 use crate::requests::relay::answer_with;
 use crate::requests::request_context::RequestContext;
 use crate::{
-    EndpointCrash, EndpointKey, EndpointRow, PlacementChoice, QueueOrder, RequestIdentity, RequestKey,
-    TestDraw, short_digest,
+    CanaryDraw, EndpointCrash, EndpointKey, EndpointRow, PlacementChoice, QueueEntry, RequestIdentity,
+    RequestKey, short_digest,
 };
 use bytes::Bytes;
 use hyper::http::response;
@@ -55,9 +55,9 @@
     /// Whether it waits for an engine with free capacity.
     pub waits_for_capacity: bool,
     /// Decides its position in the queue for rate-limited endpoints.
-    pub queue_order: QueueOrder,
+    pub queue_order: QueueEntry,
     /// Decides whether it is a canary for a new version of its service.
-    pub canary_draw: TestDraw,
+    pub canary_draw: CanaryDraw,
     pub first_at: Option<Moment>,
     /// An endpoint's own failure, forwarded if no later send succeeds.
     pub failure: Option<(Box<response::Parts>, Bytes)>,
@@ -96,7 +96,7 @@
             expected_ms = expected_millis,
             prompt = self.context.prompt_tokens,
             kept = cached_tokens,
-            held = self.choice.as_ref().map_or(0, |choice| choice.kept.held_tokens),
+            held = self.choice.as_ref().map_or(0, |choice| choice.kept.stored_tokens),
             saved = self.choice.as_ref().map_or(0, |choice| choice.kept.saves.iter().flatten().count()),
             moved = self.choice.as_ref().map_or(0, |choice| choice.kept.moved_tokens),
             weights = self.choice.as_ref().and_then(|choice| choice.version).unwrap_or(0),
@@ -116,7 +116,7 @@
         body: Bytes,
         resources: CallerResources,
     ) -> Self {
-        let queue_order = QueueOrder {
+        let queue_order = QueueEntry {
             number: gateway.shares.next_number(),
             rank: context.priority,
             account: context.account.clone().unwrap_or_default(),
@@ -135,7 +135,7 @@
             waited_micros: 0,
             waits_for_capacity: false,
             queue_order,
-            canary_draw: TestDraw { number: rand::random(), has_slack: false },
+            canary_draw: CanaryDraw { number: rand::random(), has_slack: false },
             first_at: None,
             failure: None,
             key: None,
@@ -240,8 +240,9 @@
     fn crash_of(&self, flight: &SendFlight) -> Option<EndpointCrash> {
         let now = self.gateway.now();
         let table = self.gateway.table();
-        let row =
-            table.row(flight.key).filter(|row| !row.has_announced_end() && row.missing_until.is_none())?;
+        let row = table
+            .row(flight.key)
+            .filter(|row| !row.has_announced_departure() && row.grace_deadline.is_none())?;
         let service = &row.entry.service;
         let among = table.rows_of(service).filter(|(_, row)| !row.is_departing(now)).count();
         Some(EndpointCrash {
--- a/crates/gateway/src/requests/share_desk.rs
+++ b/crates/gateway/src/requests/share_desk.rs
@@ -56,7 +56,7 @@
         let mut cached = self.shares.right.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((right, expires_at)) = cached.as_ref()
             && now < *expires_at
-            && right.is_fresh == membership.is_fresh(now)
+            && right.is_list_current == membership.is_list_current(now)
         {
             return Some(Arc::clone(right));
         }
--- a/crates/gateway/src/rollout/rollout_task.rs
+++ b/crates/gateway/src/rollout/rollout_task.rs
@@ -84,7 +84,7 @@
                 phase,
                 elapsed_millis: run.elapsed_millis(now),
             };
-            let record_position = rollouts.records_at.get(service).copied();
+            let record_position = rollouts.record_positions.get(service).copied();
             let reason = step.map(|step| step.reason);
             Some(DueRecord {
                 record,
@@ -101,7 +101,7 @@
         let rows = || table.rows_of(&run.order.service).map(|(_, row)| row);
         let is_target = |version: &str| *version == *run.order.target;
         let is_complete =
-            !run.has_others && rows().any(|row| is_target(&row.entry.version) && row.takes_work(now));
+            !run.has_other_versions && rows().any(|row| is_target(&row.entry.version) && row.takes_work(now));
         if is_complete && !run.phase.is_concluded() && !run.is_withdrawn {
             return Some(RolloutStep { phase: RolloutPhase::Succeeded, reason: RolloutReason::InPlace });
         }
@@ -134,7 +134,7 @@
                 let reason = due.reason.map_or("ordered", RolloutReason::label);
                 log::warn!(service = record.service.as_str(), target = record.target.as_str(),
                     phase = record.phase.label(), reason, position:%; "rollout.decided");
-                self.gateway.rollouts().records_at.insert(record.service.clone(), position);
+                self.gateway.rollouts().record_positions.insert(record.service.clone(), position);
                 self.gateway.rollouts().record_status(&record.service, &status, position);
                 self.gateway.apply_rollout(record);
                 true
@@ -152,7 +152,7 @@
         let find = |key: &str| items.iter().find(|item| item.key == key);
         match find(record_key) {
             Some(item) => self.gateway.record_rollout(item),
-            None => drop(self.gateway.rollouts().records_at.remove(service)),
+            None => drop(self.gateway.rollouts().record_positions.remove(service)),
         }
         let mut rollouts = self.gateway.rollouts();
         match find(status_key) {
--- a/crates/gateway/src/rollout/rollout_tracker.rs
+++ b/crates/gateway/src/rollout/rollout_tracker.rs
@@ -7,8 +7,8 @@
 use crate::gateway::Gateway;
 use crate::operators::gateway_metrics::KindLabel;
 use crate::{
-    EndpointEntry, ExposureTerms, RolloutPhase, RolloutRecord, RolloutTable, RouteCounts, SendOutcome,
-    StoreItem, SumKey, TestDraw, VersionSplit,
+    CanaryDraw, EndpointEntry, ExposureTerms, RolloutPhase, RolloutRecord, RolloutTable, RouteCounts,
+    SendOutcome, StoreItem, SumKey, VersionSplit,
 };
 use std::sync::{MutexGuard, PoisonError};
 
@@ -60,7 +60,7 @@
             rows.filter(|(_, row)| *row.entry.version != *target).count()
         };
         if let Some(run) = rollouts.run_mut(service) {
-            run.has_others = others > 0;
+            run.has_other_versions = others > 0;
         }
         drop(rollouts);
         self.count_rollout("begun");
@@ -80,7 +80,7 @@
     pub(crate) fn record_rollout(&self, item: &StoreItem) {
         match serde_json::from_slice::<RolloutRecord>(&item.value) {
             Ok(record) => {
-                self.rollouts().records_at.insert(record.service.clone(), item.position);
+                self.rollouts().record_positions.insert(record.service.clone(), item.position);
                 self.apply_rollout(&record);
             }
             Err(error) => log::error!(key = item.key.as_str(), cause:% = error; "rollout.unreadable"),
@@ -96,9 +96,9 @@
         }
         let Some(run) = rollouts.run(&record.service) else { return };
         let (service, target) = (record.service.as_str(), record.target.as_str());
-        let has_observed = now >= run.known_at.after_millis(MIN_OBSERVATION_MILLIS);
+        let has_observed = now >= run.received_order_at.after_millis(MIN_OBSERVATION_MILLIS);
         if record.phase == RolloutPhase::Succeeded && has_observed {
-            self.table().leave_behind(service, target);
+            self.table().mark_other_versions_departed(service, target);
         }
         let counts = run.evidence.totals();
         drop(rollouts);
@@ -114,12 +114,12 @@
     pub(crate) fn note_version(&self, entry: &EndpointEntry) {
         let mut rollouts = self.rollouts();
         if let Some(run) = rollouts.run_mut(&entry.service) {
-            run.has_others |= *entry.version != *run.order.target && !entry.draining;
+            run.has_other_versions |= *entry.version != *run.order.target && !entry.draining;
         }
     }
 
     /// Returns the versions that a request of `service` may use, in order of preference.
-    pub(crate) fn version_splits(&self, service: &str, draw: &mut TestDraw) -> Vec<VersionSplit> {
+    pub(crate) fn version_splits(&self, service: &str, draw: &mut CanaryDraw) -> Vec<VersionSplit> {
         let mut rollouts = self.rollouts();
         if rollouts.run(service).is_none() {
             return vec![VersionSplit::Any];
@@ -129,7 +129,7 @@
             service,
             &self.exposure_terms(),
             draw,
-            |target, share| self.table().last_tested(service, target, share, now),
+            |target, share| self.table().last_canary_order(service, target, share, now),
             |key, terms| self.sharing_right().map_or(0, |right| right.share_of_total(key, terms)),
         )
     }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -500,7 +500,7 @@
     ///
     /// VMs do so one after the other, in the order of their names, until a key is stored.
     async fn offer_peer_key(&mut self) {
-        if self.view.contains_key(PEER_KEY_KEY) || self.gateway.peers().own_rank() > self.watch_count {
+        if self.view.contains_key(PEER_KEY_KEY) || self.gateway.peers().own_name_index() > self.watch_count {
             return;
         }
         let key = self.gateway.peer_key().unwrap_or_else(rand::random::<PeerKey>);
--- a/crates/gateway/src/store/lease_keeper.rs
+++ b/crates/gateway/src/store/lease_keeper.rs
@@ -154,7 +154,7 @@
 
     /// Returns this VM's index by name; none until the VMs that started together are recorded.
     fn name_index(&self) -> Option<usize> {
-        (self.gateway.now() >= self.peers_known_at).then(|| self.gateway.peers().own_rank())
+        (self.gateway.now() >= self.peers_known_at).then(|| self.gateway.peers().own_name_index())
     }
 
     /// Whether the current lease is longer than that of a candidate. A new lease is then taken first.
@@ -213,7 +213,7 @@
     fn record_renewal(&mut self, sent_at: Moment, ttl_millis: u64) {
         self.lease_safe_until = sent_at.after_millis(ttl_millis.saturating_sub(LEASE_MARGIN_MILLIS));
         let safe_until = self.lease_safe_until;
-        self.gateway.list_standing().list_until(safe_until, self.gateway.now());
+        self.gateway.list_standing().record_listing(safe_until, self.gateway.now());
         self.right.send_modify(|right| {
             if right.fencing != 0 {
                 right.until = safe_until;
@@ -275,7 +275,7 @@
             }
             None => {
                 let since = *self.free_since.get_or_insert(now);
-                let name_index = self.gateway.peers().own_rank() as u64;
+                let name_index = self.gateway.peers().own_name_index() as u64;
                 if now < since.after_millis(CLAIM_STEP_MILLIS * name_index) {
                     return;
                 }
--- a/crates/gateway/src/store/store_updates.rs
+++ b/crates/gateway/src/store/store_updates.rs
@@ -4,7 +4,7 @@
 //! that misses a fragment, does not apply it; it requests the changes, in the end from the store itself,
 //! which loses nothing. So a lost datagram costs one call.
 
-use crate::{PIECE_BYTES, PropagationPlan, StoreEvent, StorePosition, UpdateFragment, split_update};
+use crate::{MAX_FRAGMENT_BYTES, PropagationPlan, StoreEvent, StorePosition, UpdateFragment, split_update};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
 impl UpdatePlan {
     /// Plans how a VM with a link of `link_mbps` sends `events`.
     pub(crate) fn new(events: &[StoreEvent], propagation: &PropagationPlan, link_mbps: f64) -> Self {
-        let relayed_interval = fragment_interval(propagation.relayed_count, propagation.relay_mbps);
+        let relayed_interval = fragment_interval(propagation.max_relay_targets, propagation.relay_mbps);
         let interval = fragment_interval(propagation.targets.len(), link_mbps).max(relayed_interval);
         let is_sendable = |fragments: &Vec<_>| {
             fragments.len() <= 1 || interval * fragments.len() as u32 <= MAX_PROPAGATION_DELAY
@@ -76,6 +76,6 @@
     if targets == 0 {
         return SEND_INTERVAL;
     }
-    let micros = (targets * PIECE_BYTES * 8) as f64 / (link_mbps.max(1.0) * LINK_FRACTION);
+    let micros = (targets * MAX_FRAGMENT_BYTES * 8) as f64 / (link_mbps.max(1.0) * LINK_FRACTION);
     SEND_INTERVAL.max(Duration::from_micros(micros as u64))
 }
--- a/crates/gateway/src/store/store_view.rs
+++ b/crates/gateway/src/store/store_view.rs
@@ -296,7 +296,7 @@
         let entry = (self.gateway.dialect.decode.endpoint)(id, value)?;
         let latest = wall_clock_millis().saturating_add(MAX_START_LEAD_MILLIS);
         let is_future = entry.born_millis.is_some_and(|born| born > latest);
-        if is_future || self.gateway.table().lacks_start(&entry) {
+        if is_future || self.gateway.table().lacks_start_time(&entry) {
             return Err(EntryError::Born);
         }
         Ok(entry)
@@ -339,7 +339,7 @@
         let (key, crash) = {
             let table = self.gateway.table();
             let key = table.key_of(id);
-            let crash = table.row(key).filter(|row| !row.has_announced_end()).map(|row| {
+            let crash = table.row(key).filter(|row| !row.has_announced_departure()).map(|row| {
                 let service = &row.entry.service;
                 EndpointCrash {
                     start: key,
@@ -397,7 +397,7 @@
                 self.gateway.withdraw_rollout(service);
             }
         } else if let Some(service) = key.strip_prefix(RECORD_PREFIX) {
-            self.gateway.rollouts().records_at.remove(service);
+            self.gateway.rollouts().record_positions.remove(service);
         } else if let Some(service) = key.strip_prefix(self.gateway.dialect.keys.rollout_statuses) {
             self.gateway.rollouts().statuses.remove(service);
         } else if let Some(name) = key.strip_prefix(VM_PREFIX) {
