--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -73,7 +73,7 @@
 
 /// Error of a wait whose deadline passed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct TimeIsUp;
+pub(crate) struct DeadlinePassed;
 
 impl Gateway {
     /// Converts a moment to tokio's clock, which is exact unless the VM is suspended before.
@@ -86,14 +86,14 @@
     pub(crate) async fn until(&self, moment: Moment) {
         loop {
             // Registered before the clock is read, so that no jump in between is missed.
-            let mut jumped = pin!(self.jumped.notified());
-            jumped.as_mut().enable();
+            let mut clock_jumped = pin!(self.clock_jumped.notified());
+            clock_jumped.as_mut().enable();
             if self.now() >= moment {
                 return;
             }
             tokio::select! {
                 () = tokio::time::sleep_until(self.instant(moment)) => {}
-                () = jumped => {}
+                () = clock_jumped => {}
             }
         }
     }
@@ -103,16 +103,16 @@
         &self,
         moment: Moment,
         future: impl Future<Output = T>,
-    ) -> Result<T, TimeIsUp> {
+    ) -> Result<T, DeadlinePassed> {
         tokio::select! {
             biased;
             result = future => Ok(result),
-            () = self.until(moment) => Err(TimeIsUp),
+            () = self.until(moment) => Err(DeadlinePassed),
         }
     }
 
     /// Waits until the store has been queried, if this VM was suspended a moment ago.
-    pub(crate) async fn until_fresh(&self) {
+    pub(crate) async fn wait_until_current(&self) {
         let mut stale_until = self.stale_until.subscribe();
         let deadline = *stale_until.borrow_and_update();
         if self.now() < deadline {
@@ -130,18 +130,18 @@
     /// Records that the local state is as recent as that of others.
     ///
     /// It has been compared with the store or another VM.
-    pub(crate) fn note_fresh(&self) {
+    pub(crate) fn mark_current(&self) {
         self.stale_until.send_if_modified(|until| std::mem::replace(until, Moment(0)) != Moment(0));
     }
 
     fn handle_clock_jump(&self, jump: Duration) {
         let millis = jump.as_millis() as u64;
         log::warn!(millis; "clock.jumped");
-        self.pool.forget_all();
+        self.pool.close_all_idle();
         if millis >= MIN_STALE_JUMP_MILLIS {
             self.stale_until.send_replace(self.now().after_millis(STORE_TIMEOUT_MILLIS));
         }
-        self.jumped.notify_waiters();
+        self.clock_jumped.notify_waiters();
     }
 }
 
--- a/crates/gateway/src/endpoints/answer_handler.rs
+++ b/crates/gateway/src/endpoints/answer_handler.rs
@@ -37,7 +37,7 @@
 /// The same in messages between VMs, in at most 31 bytes. It contains ages in place of moments, since VMs'
 /// clocks have different origins.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum AnswerNote {
+pub(crate) enum AnswerRecord {
     Limit {
         key: EndpointKey,
         per_s: Option<f64>,
@@ -49,7 +49,7 @@
     Departure(EndpointKey),
 }
 
-impl AnswerNote {
+impl AnswerRecord {
     pub(crate) fn of(observed: &ObservedAnswer, now: Moment) -> Self {
         match *observed {
             ObservedAnswer::Departure(key) => Self::Departure(key),
@@ -103,7 +103,7 @@
     /// Other data centres.
     Remote,
     /// The VMs of its own data centre.
-    Passed,
+    Relayed,
 }
 
 impl ForwardScope {
@@ -112,7 +112,7 @@
     pub(crate) fn of(scope: DigestScope, is_local: bool, is_leader: bool) -> Self {
         match scope {
             DigestScope::Vm if is_local => Self::Remote,
-            DigestScope::DataCentre if is_leader => Self::Passed,
+            DigestScope::DataCentre if is_leader => Self::Relayed,
             DigestScope::Vm | DigestScope::DataCentre | DigestScope::Elsewhere => Self::Nobody,
         }
     }
@@ -164,8 +164,8 @@
 
     /// Propagates what an endpoint stated to this VM to all others.
     fn forward(&self, observed: ObservedAnswer) {
-        self.near_answers.push(observed);
-        self.far_answers.push(observed);
+        self.local_answers.push(observed);
+        self.remote_answers.push(observed);
         self.loads_changed.notify_one();
     }
 
@@ -216,7 +216,7 @@
     }
 
     /// Applies what endpoints stated to other VMs.
-    pub(crate) fn apply_answer_notes(&self, records: &[AnswerNote], forward: ForwardScope) {
+    pub(crate) fn apply_answer_records(&self, records: &[AnswerRecord], forward: ForwardScope) {
         let now = self.now();
         for record in records {
             let forwarded = match record.observed(now) {
@@ -233,8 +233,8 @@
             };
             match (forwarded, forward) {
                 (None, _) | (_, ForwardScope::Nobody) => {}
-                (Some(observed), ForwardScope::Remote) => self.far_answers.push(observed),
-                (Some(observed), ForwardScope::Passed) => self.passed_answers.push(observed),
+                (Some(observed), ForwardScope::Remote) => self.remote_answers.push(observed),
+                (Some(observed), ForwardScope::Relayed) => self.relayed_answers.push(observed),
             }
         }
     }
@@ -261,11 +261,11 @@
             )
         };
         for (key, report) in limits {
-            self.near_answers.push(ObservedAnswer::Limit(key, report));
+            self.local_answers.push(ObservedAnswer::Limit(key, report));
         }
         for key in departures {
-            self.near_answers.push(ObservedAnswer::Departure(key));
-            self.far_answers.push(ObservedAnswer::Departure(key));
+            self.local_answers.push(ObservedAnswer::Departure(key));
+            self.remote_answers.push(ObservedAnswer::Departure(key));
         }
     }
 
--- a/crates/gateway/src/endpoints/end_watch.rs
+++ b/crates/gateway/src/endpoints/crash_detector.rs
@@ -52,12 +52,12 @@
 
 /// Broken sends by endpoint, while it may turn out that the endpoint crashed.
 #[derive(Debug, Default)]
-pub(crate) struct EndWatch(Mutex<HashMap<EndpointKey, CrashSuspicion>>);
+pub(crate) struct CrashDetector(Mutex<HashMap<EndpointKey, CrashSuspicion>>);
 
 /// Becomes true when an endpoint's address has been probed.
 pub(crate) type ProbeCompletion = watch::Receiver<bool>;
 
-impl EndWatch {
+impl CrashDetector {
     /// Adds a send. Returns the completion of its endpoint's probe, and whether to probe it now; none if
     /// there is no free space.
     fn add(
@@ -125,13 +125,13 @@
     }
 
     /// Records that an endpoint crashed, as `sign` shows: its broken sends are evidence.
-    pub(crate) fn record_ended(&self, endpoint: EndpointKey, sign: &'static str) {
+    pub(crate) fn confirm_crash(&self, endpoint: EndpointKey, sign: &'static str) {
         let Some(suspicion) = self.ends.take(endpoint, self.now()) else { return };
         log::warn!(endpoint = suspicion.endpoint.id.as_str(), sends = suspicion.sends.len(), sign;
             "endpoint.ended");
         for send in &suspicion.sends {
             let BrokenSend { request, crash, age_micros, .. } = *send;
-            self.take_own_report(
+            self.record_own_crash(
                 &CrashReport { request, ending: crash, age_micros },
                 send,
                 &suspicion.endpoint.id,
@@ -141,9 +141,9 @@
     }
 
     /// Records that `started` begins at an address, so that any other endpoint there has crashed.
-    pub(crate) fn note_started_at(&self, address: SocketAddr, started: EndpointKey) {
+    pub(crate) fn record_started_at(&self, address: SocketAddr, started: EndpointKey) {
         for endpoint in self.ends.endpoints_at(address).into_iter().filter(|endpoint| *endpoint != started) {
-            self.record_ended(endpoint, "another one has its address");
+            self.confirm_crash(endpoint, "another one has its address");
         }
     }
 }
@@ -153,7 +153,7 @@
         tokio::time::sleep(delay).await;
         let stream = open_stream(address).await;
         if stream.is_err_and(|error| error.kind() == io::ErrorKind::ConnectionRefused) {
-            gateway.record_ended(endpoint, "it refuses connections");
+            gateway.confirm_crash(endpoint, "it refuses connections");
             return;
         }
     }
--- a/crates/gateway/src/endpoints/endpoint_pool.rs
+++ b/crates/gateway/src/endpoints/endpoint_pool.rs
@@ -141,12 +141,12 @@
     }
 
     /// Closes all idle connections to an endpoint that is gone.
-    pub(crate) fn forget(&self, key: EndpointKey) {
+    pub(crate) fn close_idle(&self, key: EndpointKey) {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).remove(&key);
     }
 
     /// Closes all idle connections: their endpoints may have closed them long ago.
-    pub(crate) fn forget_all(&self) {
+    pub(crate) fn close_all_idle(&self) {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).clear();
     }
 
--- a/crates/gateway/src/endpoints/mod.rs
+++ b/crates/gateway/src/endpoints/mod.rs
@@ -2,5 +2,5 @@
 
 pub(crate) mod answer_facts;
 pub(crate) mod answer_handler;
-pub(crate) mod end_watch;
+pub(crate) mod crash_detector;
 pub(crate) mod endpoint_pool;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -3,18 +3,18 @@
 use crate::PeerTable;
 use crate::clock::GatewayClock;
 use crate::endpoints::answer_handler::ObservedAnswer;
-use crate::endpoints::end_watch::EndWatch;
+use crate::endpoints::crash_detector::CrashDetector;
 use crate::endpoints::endpoint_pool::EndpointPool;
-use crate::memory::MemoryDesk;
+use crate::memory::MemoryLimiter;
 use crate::operators::gateway_metrics::GatewayMetrics;
 use crate::peers::digest_relay::DigestRelay;
 use crate::peers::peer_message::{PeerKey, PeerMessage, PeerStamp};
-use crate::peers::placed_note::PlacedNote;
-use crate::peers::relayed_news::RelayedNews;
-use crate::peers::waiting_notes::WaitingNotes;
-use crate::quarantine::quarantine_desk::QuarantineTracker;
-use crate::requests::share_desk::ShareDesk;
-use crate::store::CopyDesk;
+use crate::peers::pending_messages::PendingMessages;
+use crate::peers::placement_message::PlacementMessage;
+use crate::peers::relayed_updates::RelayedUpdates;
+use crate::quarantine::quarantine_tracker::QuarantineTracker;
+use crate::requests::quota_queue::QuotaQueue;
+use crate::store::SnapshotCache;
 use crate::store::store_era::StoreEra;
 use crate::{
     BudgetTerms, EndpointRow, FleetTable, IdentityKey, ListMembership, PlacementChoice, PlacementRequest,
@@ -45,7 +45,7 @@
 const START_OFFSET_MICROS: u64 = 86_400_000_000;
 
 /// Report of a send, with the VM that reported it.
-pub(crate) type TellerReport = (VmKey, SendReport);
+pub(crate) type ReportedSend = (VmKey, SendReport);
 
 /// State that the tasks of one gateway share.
 #[derive(Debug)]
@@ -56,9 +56,9 @@
     /// Reading of the clock at the process's start.
     origin: Duration,
     /// Wakes tasks that wait until a moment, after a suspension of the VM.
-    pub jumped: Notify,
+    pub clock_jumped: Notify,
     /// Whether this VM and the others have the same list of VMs.
-    list_standing: Mutex<ListMembership>,
+    list_membership: Mutex<ListMembership>,
     /// Deadline until which requests wait for a query of the store after a suspension; zero once it is done.
     pub stale_until: watch::Sender<Moment>,
     routes: RwLock<Option<Arc<RouteTable>>>,
@@ -76,53 +76,53 @@
     /// Wakes the task that sends changed loads to peers.
     pub loads_changed: Notify,
     /// Wakes the task that sends changes of cache indexes to peers.
-    pub kept_changed: Notify,
+    pub cache_index_changed: Notify,
     /// Placements to send to the VMs of this data centre.
-    pub near_notes: WaitingNotes<PlacedNote>,
+    pub local_placements: PendingMessages<PlacementMessage>,
     /// Placements of the VMs of this data centre, to send to other data centres.
-    pub far_notes: WaitingNotes<PlacedNote>,
+    pub remote_placements: PendingMessages<PlacementMessage>,
     /// Placements of other data centres, to relay locally while this VM leads.
-    pub passed_notes: WaitingNotes<PlacedNote>,
+    pub relayed_placements: PendingMessages<PlacementMessage>,
     /// Digests of the VMs of this data centre, to relay while this VM leads.
     pub relay: DigestRelay,
     /// Reports of sends, to send to the VMs of this data centre.
-    pub near_reports: WaitingNotes<TellerReport>,
+    pub local_send_reports: PendingMessages<ReportedSend>,
     /// Reports of sends, to send to other data centres.
     ///
     /// They are by VMs of this data centre, about its own endpoints.
-    pub far_reports: WaitingNotes<TellerReport>,
+    pub remote_send_reports: PendingMessages<ReportedSend>,
     /// Reports of other data centres, to relay locally while this VM leads.
-    pub passed_reports: WaitingNotes<TellerReport>,
+    pub relayed_send_reports: PendingMessages<ReportedSend>,
     /// Requests that crash endpoints.
     pub quarantine_tracker: Mutex<QuarantineTracker>,
     /// This VM's share of endpoints that take few requests, and its queue.
-    pub shares: ShareDesk,
+    pub shares: QuotaQueue,
     /// Bytes buffered for callers that send or read slowly.
-    pub memory: MemoryDesk,
+    pub memory: MemoryLimiter,
     /// Messages of other VMs that this VM has relayed.
-    pub relayed: RelayedNews,
+    pub relayed: RelayedUpdates,
     /// Rollouts of services to other versions.
     pub rollouts: Mutex<RolloutTable>,
     /// Statements of endpoints in answers, to send to the VMs of this data centre.
-    pub near_answers: WaitingNotes<ObservedAnswer>,
+    pub local_answers: PendingMessages<ObservedAnswer>,
     /// Statements of endpoints in answers, to send to other data centres.
-    pub far_answers: WaitingNotes<ObservedAnswer>,
+    pub remote_answers: PendingMessages<ObservedAnswer>,
     /// Statements from other data centres, to relay locally while this VM leads.
-    pub passed_answers: WaitingNotes<ObservedAnswer>,
+    pub relayed_answers: PendingMessages<ObservedAnswer>,
     /// Wakes the task that evaluates evidence against requests.
     pub evidence_received: Notify,
     /// Wakes the task that writes quarantines to the store.
     pub quarantine_changed: Notify,
     /// Evidence and quarantines, to send to the VMs of this data centre.
-    pub near_cases: WaitingNotes<QuarantineMessage>,
+    pub local_quarantine_messages: PendingMessages<QuarantineMessage>,
     /// Evidence and quarantines, to send to other data centres.
-    pub far_cases: WaitingNotes<QuarantineMessage>,
+    pub remote_quarantine_messages: PendingMessages<QuarantineMessage>,
     /// Evidence and quarantines of other data centres, to relay locally while this VM leads.
-    pub passed_cases: WaitingNotes<QuarantineMessage>,
+    pub relayed_quarantine_messages: PendingMessages<QuarantineMessage>,
     /// Broken sends, until it is determined whether their endpoints crashed.
-    pub ends: EndWatch,
+    pub ends: CrashDetector,
     /// Snapshots of all endpoints that this VM serves to others.
-    pub copies: CopyDesk,
+    pub copies: SnapshotCache,
     /// Position of the store up to which all changes are applied; the default before the first listing.
     applied: Mutex<StorePosition>,
     /// Newest known era of the store: it counts restorations from a backup.
@@ -149,7 +149,7 @@
             slack: settings.retry_slack,
             window_millis: settings.retry_window_s * 1_000,
         };
-        let memory = MemoryDesk::new(settings.memory_mb);
+        let memory = MemoryLimiter::new(settings.memory_mb);
         let incarnation = rand::random::<u64>() | 1;
         let peers = PeerTable::new(VmEntry {
             name: settings.name.clone(),
@@ -165,8 +165,8 @@
             dialect,
             origin: clock.read(),
             clock,
-            jumped: Notify::new(),
-            list_standing: Mutex::default(),
+            clock_jumped: Notify::new(),
+            list_membership: Mutex::default(),
             stale_until: watch::channel(Moment(0)).0,
             routes: RwLock::default(),
             table: Mutex::new(table),
@@ -177,29 +177,29 @@
             pool: EndpointPool::default(),
             metrics: GatewayMetrics::new(),
             loads_changed: Notify::new(),
-            kept_changed: Notify::new(),
-            near_notes: WaitingNotes::default(),
-            far_notes: WaitingNotes::default(),
-            passed_notes: WaitingNotes::default(),
+            cache_index_changed: Notify::new(),
+            local_placements: PendingMessages::default(),
+            remote_placements: PendingMessages::default(),
+            relayed_placements: PendingMessages::default(),
             relay: DigestRelay::default(),
-            near_reports: WaitingNotes::default(),
-            far_reports: WaitingNotes::default(),
-            passed_reports: WaitingNotes::default(),
+            local_send_reports: PendingMessages::default(),
+            remote_send_reports: PendingMessages::default(),
+            relayed_send_reports: PendingMessages::default(),
             quarantine_tracker: Mutex::default(),
-            shares: ShareDesk::default(),
+            shares: QuotaQueue::default(),
             memory,
-            relayed: RelayedNews::default(),
+            relayed: RelayedUpdates::default(),
             rollouts: Mutex::default(),
-            near_answers: WaitingNotes::default(),
-            far_answers: WaitingNotes::default(),
-            passed_answers: WaitingNotes::default(),
+            local_answers: PendingMessages::default(),
+            remote_answers: PendingMessages::default(),
+            relayed_answers: PendingMessages::default(),
             evidence_received: Notify::new(),
             quarantine_changed: Notify::new(),
-            near_cases: WaitingNotes::default(),
-            far_cases: WaitingNotes::default(),
-            passed_cases: WaitingNotes::default(),
-            ends: EndWatch::default(),
-            copies: CopyDesk::default(),
+            local_quarantine_messages: PendingMessages::default(),
+            remote_quarantine_messages: PendingMessages::default(),
+            relayed_quarantine_messages: PendingMessages::default(),
+            ends: CrashDetector::default(),
+            copies: SnapshotCache::default(),
             applied: Mutex::default(),
             era: StoreEra::default(),
             peer_key: RwLock::default(),
@@ -221,20 +221,20 @@
     /// Records a failed call to the store, by this VM or another one.
     ///
     /// Entries may expire then although their endpoints run.
-    pub(crate) fn note_store_trouble(&self, at: Moment) {
+    pub(crate) fn record_store_failure(&self, at: Moment) {
         self.store_failed_at.fetch_max(at.0, Ordering::Relaxed);
         self.table().extend_grace(self.now(), at.after_millis(ENTRY_GRACE_MILLIS));
     }
 
     /// Returns the microseconds since the last failed call, while the store counts as failing.
-    pub(crate) fn store_trouble_age(&self) -> Option<u64> {
+    pub(crate) fn store_failure_age(&self) -> Option<u64> {
         let (failed_at, now) = (Moment(self.store_failed_at.load(Ordering::Relaxed)), self.now());
         let is_failing = failed_at.0 != 0 && now < failed_at.after_millis(STORE_FAILURE_MILLIS);
         is_failing.then(|| now.micros_since(failed_at))
     }
 
     /// Returns until when an entry that vanishes now is retained; zero if the store is not failing.
-    pub(crate) fn hold_until(&self) -> Moment {
+    pub(crate) fn entry_grace_deadline(&self) -> Moment {
         let failed_at = Moment(self.store_failed_at.load(Ordering::Relaxed));
         let now = self.now();
         if failed_at.0 == 0 || now >= failed_at.after_millis(STORE_FAILURE_MILLIS) {
@@ -290,10 +290,10 @@
     }
 
     /// Records a placement for propagation to other VMs.
-    pub(crate) fn note_placed(&self, placement: PlacedNote) {
-        if placement.has_parts() {
-            self.near_notes.push(placement.clone());
-            self.far_notes.push(placement);
+    pub(crate) fn record_placement(&self, placement: PlacementMessage) {
+        if placement.has_segments() {
+            self.local_placements.push(placement.clone());
+            self.remote_placements.push(placement);
         }
         self.loads_changed.notify_one();
     }
@@ -302,8 +302,8 @@
     pub(crate) fn record_send(&self, report: SendReport) {
         if self.table().should_propagate(&report, self.now()) {
             let report = (VmKey::of(&self.settings.name), report);
-            self.near_reports.push(report);
-            self.report_far(report);
+            self.local_send_reports.push(report);
+            self.record_remote_report(report);
         }
     }
 
@@ -311,7 +311,7 @@
     ///
     /// The VMs beside an endpoint report it to other data centres. Slowdowns are left out: few prompts go to
     /// other data centres, and there are many samples.
-    pub(crate) fn report_far(&self, (reporter, report): TellerReport) {
+    pub(crate) fn record_remote_report(&self, (reporter, report): ReportedSend) {
         let report = SendReport { pace: None, ..report };
         let should_report = {
             let table = self.table();
@@ -319,7 +319,7 @@
             table.row(report.key).is_some_and(is_local) && table.should_propagate(&report, self.now())
         };
         if should_report {
-            self.far_reports.push((reporter, report));
+            self.remote_send_reports.push((reporter, report));
         }
     }
 
@@ -369,7 +369,7 @@
     }
 
     /// Returns model digest, version and age in microseconds of each publication.
-    pub(crate) fn named_ages(&self) -> Vec<(u64, u64, u64)> {
+    pub(crate) fn publication_ages(&self) -> Vec<(u64, u64, u64)> {
         let now = self.now();
         let weights = self.weights.read().unwrap_or_else(PoisonError::into_inner);
         let rows = weights.iter().flat_map(|(model, versions)| {
@@ -383,7 +383,7 @@
     ///
     /// Versions that this VM has not read from the store count too: a listing contains only the newest of a
     /// model.
-    pub(crate) fn apply_named_ages(&self, ages: &[(u64, u64, u64)]) {
+    pub(crate) fn apply_publication_ages(&self, ages: &[(u64, u64, u64)]) {
         let now = self.now();
         for (model, version, age) in ages {
             let since = Moment(now.0.saturating_sub(*age));
@@ -394,7 +394,7 @@
     }
 
     /// Records a version read from the store; returns whether it is new.
-    pub(crate) fn name_weights(&self, target: &WeightTarget) -> bool {
+    pub(crate) fn record_publication(&self, target: &WeightTarget) -> bool {
         let now = self.now();
         let published = PublishedVersion { version: target.version, since: now };
         self.record_published_version(short_digest(&target.model), published, now)
@@ -408,7 +408,7 @@
     /// Returns the data centres that seem cut off: their VMs are unreachable, and a send to them broke.
     ///
     /// Unreachable VMs alone are not enough: all of a few VMs may be suspended while their endpoints serve.
-    pub(crate) fn cut_data_centres(&self) -> Vec<String> {
+    pub(crate) fn partitioned_data_centres(&self) -> Vec<String> {
         let now = self.now();
         // Called for each placement: mostly no send has broken, and the VMs need no check.
         if !self.table().is_any_failing(now) {
@@ -429,8 +429,8 @@
     }
 
     /// Locks the record of whether all VMs have the same list. Never held across a wait.
-    pub(crate) fn list_standing(&self) -> MutexGuard<'_, ListMembership> {
-        self.list_standing.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn list_membership(&self) -> MutexGuard<'_, ListMembership> {
+        self.list_membership.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn count_request(&self, service: &str) {
@@ -438,7 +438,7 @@
     }
 
     /// Spends one second send for `service`, if this VM's share of the budget allows it.
-    pub(crate) fn try_spend_repeat(&self, service: &str) -> bool {
+    pub(crate) fn try_spend_second_send(&self, service: &str) -> bool {
         let vms = self.peers().listed_count();
         self.budget.lock().unwrap_or_else(PoisonError::into_inner).try_spend(service, vms, self.now())
     }
--- a/crates/gateway/src/gateway_daemon.rs
+++ b/crates/gateway/src/gateway_daemon.rs
@@ -4,9 +4,9 @@
 use crate::gateway::Gateway;
 use crate::operators::operator_port;
 use crate::orders::{order_task, publication_task, release_task};
-use crate::peers::{digest_relay, gossip, kept_digest, kept_task};
+use crate::peers::{cache_digest, cache_index_task, digest_relay, gossip};
 use crate::quarantine::quarantine_task;
-use crate::requests::front_door;
+use crate::requests::accept_loop;
 use crate::store::lease_keeper::OrderRight;
 use crate::store::store_view::OrdersView;
 use crate::store::{follow, lease_keeper};
@@ -93,8 +93,8 @@
         let tasks = vec![
             tokio::spawn(clock::compare_clocks(handle())),
             tokio::spawn(follow::follow_store(handle(), Arc::clone(&socket), orders, received_updates)),
-            tokio::spawn(kept_task::follow_stores(handle())),
-            tokio::spawn(kept_digest::tell_kept(handle(), Arc::clone(&socket))),
+            tokio::spawn(cache_index_task::follow_stores(handle())),
+            tokio::spawn(cache_digest::send_cache_digests(handle(), Arc::clone(&socket))),
             tokio::spawn(lease_keeper::keep_lease(handle(), orders_view, right)),
             tokio::spawn(order_task::order_weights(handle(), right_view.clone())),
             tokio::spawn(publication_task::keep_publications(handle(), right_view.clone())),
@@ -103,8 +103,8 @@
             tokio::spawn(quarantine_task::write_quarantines(handle())),
             tokio::spawn(release_task::release_outdated_segments(handle(), right_view)),
             tokio::spawn(gossip::send_digests(handle(), Arc::clone(&socket))),
-            tokio::spawn(gossip::send_far_digests(handle(), Arc::clone(&socket))),
-            tokio::spawn(gossip::pass_on(handle(), Arc::clone(&socket))),
+            tokio::spawn(gossip::send_remote_digests(handle(), Arc::clone(&socket))),
+            tokio::spawn(gossip::relay_remote_digests(handle(), Arc::clone(&socket))),
             tokio::spawn(digest_relay::relay_digests(handle(), Arc::clone(&socket))),
             tokio::spawn(gossip::receive(handle(), socket, updates)),
             tokio::spawn(operator_port::serve_operators(
@@ -113,12 +113,16 @@
                 operator_port::answer_readiness,
             )),
             tokio::spawn(operator_port::serve_operators(handle(), metrics, operator_port::answer_management)),
-            tokio::spawn(front_door::serve_callers(handle(), callers, close_connections.subscribe())),
+            tokio::spawn(accept_loop::serve_callers(handle(), callers, close_connections.subscribe())),
             tokio::spawn(sweep(handle())),
         ];
         let mut tasks = tasks;
         if let Ok(listener) = snapshot_listener {
-            tasks.push(tokio::spawn(operator_port::serve_operators(handle(), listener, store::answer_copy)));
+            tasks.push(tokio::spawn(operator_port::serve_operators(
+                handle(),
+                listener,
+                store::answer_snapshot_request,
+            )));
         }
         let name = gateway.settings.name.as_str();
         log::info!(name, incarnation = gateway.incarnation; "gateway.started");
@@ -184,7 +188,7 @@
         tokio::time::sleep(SWEEP_INTERVAL).await;
         let now = gateway.now();
         gateway.repeat_answers(round);
-        store::sweep_copies(&gateway);
+        store::evict_expired_snapshot(&gateway);
         gateway.metrics.memory.held_bytes.set(gateway.memory.total() as i64);
         let (swept, evacuated) = {
             let mut table = gateway.table();
@@ -205,7 +209,7 @@
         gauges.doubted_endpoints.set(counts.suspected as i64);
         gauges.evacuated_data_centres.set(evacuated as i64);
         for key in gone {
-            gateway.pool.forget(key);
+            gateway.pool.close_idle(key);
         }
         gateway.shares.queue().sweep(now);
         gateway.pool.sweep();
--- a/crates/gateway/src/memory/memory_limiter.rs
+++ b/crates/gateway/src/memory/memory_limiter.rs
@@ -20,9 +20,9 @@
 
 /// All bytes buffered for callers.
 #[derive(Clone, Debug)]
-pub(crate) struct MemoryDesk(Arc<Mutex<LimiterState>>);
+pub(crate) struct MemoryLimiter(Arc<Mutex<LimiterState>>);
 
-impl MemoryDesk {
+impl MemoryLimiter {
     /// Creates a limiter for a VM with `memory_mb` megabytes.
     pub(crate) fn new(memory_mb: f64) -> Self {
         let held = HeldBytes::new((memory_mb * BYTES_PER_MEGABYTE * HELD_FRACTION) as u64);
@@ -52,7 +52,7 @@
 /// Bytes reserved for one caller, until it is dropped.
 #[derive(Debug)]
 pub(crate) struct MemoryReservation {
-    limiter: MemoryDesk,
+    limiter: MemoryLimiter,
     id: ReservationId,
     evicted: watch::Receiver<bool>,
 }
--- a/crates/gateway/src/operators/operator_port.rs
+++ b/crates/gateway/src/operators/operator_port.rs
@@ -6,7 +6,7 @@
 use crate::RequestKey;
 use crate::gateway::Gateway;
 use crate::operators::gateway_status::GatewayStatus;
-use crate::requests::front_door::ACCEPT_RETRY_DELAY;
+use crate::requests::accept_loop::ACCEPT_RETRY_DELAY;
 use crate::requests::own_answer::{AnswerBody, full_body};
 use bytes::Bytes;
 use hyper::body::Incoming;
--- a/crates/gateway/src/orders/publication_task.rs
+++ b/crates/gateway/src/orders/publication_task.rs
@@ -109,7 +109,7 @@
         let clock = self.gateway.engine_clock_at(self.gateway.now()).unwrap_or(0);
         for row in stored.values() {
             let ages = row.record.ages(clock).map(|(version, age)| (row.record.model, version, age));
-            self.gateway.apply_named_ages(&ages.collect::<Vec<_>>());
+            self.gateway.apply_publication_ages(&ages.collect::<Vec<_>>());
         }
         log::info!(models = stored.len(), clock_ms = clock; "namings.read");
         self.stored = Some(stored);
--- a/crates/gateway/src/peers/kept_digest.rs
+++ b/crates/gateway/src/peers/cache_digest.rs
@@ -96,13 +96,13 @@
 }
 
 /// Sends the stores' changes to the other VMs of the data centre until the process ends.
-pub(crate) async fn tell_kept(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
+pub(crate) async fn send_cache_digests(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     let mut reporter = IndexReporter::default();
     let mut full_index_at = Instant::now();
     let mut is_partial = false;
     loop {
         tokio::select! {
-            () = gateway.kept_changed.notified() => tokio::time::sleep(BATCH_DELAY).await,
+            () = gateway.cache_index_changed.notified() => tokio::time::sleep(BATCH_DELAY).await,
             () = tokio::time::sleep(BATCH_DELAY), if is_partial => {}
             () = tokio::time::sleep_until(full_index_at) => {}
         }
--- a/crates/gateway/src/peers/kept_task.rs
+++ b/crates/gateway/src/peers/cache_index_task.rs
@@ -7,7 +7,7 @@
 //! followed again, so the index never contains a segment that the store has not reported.
 
 use crate::gateway::Gateway;
-use crate::peers::kept_digest::{poller_count, polls_stores};
+use crate::peers::cache_digest::{poller_count, polls_stores};
 use crate::store::call_link::{CallLink, CallReply};
 use crate::{CacheUpdate, EndpointKey, PollSchedule, StoreSpec, WireCall};
 use hyper::StatusCode;
@@ -88,7 +88,7 @@
     if let Some(row) = gateway.table().store_mut(key) {
         row.replace(&update, report_deadline);
     }
-    gateway.kept_changed.notify_one();
+    gateway.cache_index_changed.notify_one();
     log::info!(store = key.0, incarnation = update.incarnation, parts = update.changes.len(); "store.listed");
     Some(update.next)
 }
@@ -130,7 +130,7 @@
         row.apply(&update, report_deadline);
     }
     if !update.changes.is_empty() {
-        gateway.kept_changed.notify_one();
+        gateway.cache_index_changed.notify_one();
     }
     tokio::time::sleep(Duration::from_millis(schedule.rest_millis)).await;
     Some(update.next)
--- a/crates/gateway/src/peers/gossip.rs
+++ b/crates/gateway/src/peers/gossip.rs
@@ -85,7 +85,7 @@
 }
 
 /// Sends digests of this data centre to others while this VM is a leader, until the process ends.
-pub(crate) async fn send_far_digests(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
+pub(crate) async fn send_remote_digests(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     loop {
         let now = gateway.now();
         let (leader_rank, remote_data_centre_count, broadcasts_to_all) = {
@@ -93,8 +93,8 @@
             (peers.leader_rank(now), peers.remote_data_centre_count(), peers.broadcasts_to_all())
         };
         if broadcasts_to_all || leader_rank >= LEADERS_PER_DATA_CENTRE || remote_data_centre_count == 0 {
-            let _ = (gateway.far_notes.take(), gateway.far_reports.take());
-            let _ = (gateway.far_cases.take(), gateway.far_answers.take());
+            let _ = (gateway.remote_placements.take(), gateway.remote_send_reports.take());
+            let _ = (gateway.remote_quarantine_messages.take(), gateway.remote_answers.take());
             gateway.rollouts().sums.far.clear();
             tokio::time::sleep(LEADER_POLL_INTERVAL).await;
             continue;
@@ -109,7 +109,7 @@
 }
 
 /// Relays digests of other data centres within this one while this VM is a leader, until the process ends.
-pub(crate) async fn pass_on(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
+pub(crate) async fn relay_remote_digests(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     loop {
         let now = gateway.now();
         let (leader_rank, remote_data_centre_count, targets) = {
@@ -120,8 +120,8 @@
             (leader_rank, peers.remote_data_centre_count(), targets)
         };
         if targets.is_empty() || remote_data_centre_count == 0 {
-            let _ = (gateway.passed_notes.take(), gateway.passed_reports.take());
-            let _ = (gateway.passed_cases.take(), gateway.passed_answers.take());
+            let _ = (gateway.relayed_placements.take(), gateway.relayed_send_reports.take());
+            let _ = (gateway.relayed_quarantine_messages.take(), gateway.relayed_answers.take());
             gateway.rollouts().sums.passed.clear();
             tokio::time::sleep(LEADER_POLL_INTERVAL).await;
             continue;
--- a/crates/gateway/src/peers/load_digest.rs
+++ b/crates/gateway/src/peers/load_digest.rs
@@ -5,11 +5,11 @@
 //! report of themselves is summed.
 
 use crate::CordonSource;
-use crate::endpoints::answer_handler::{AnswerNote, ForwardScope, ObservedAnswer};
-use crate::gateway::{Gateway, TellerReport};
+use crate::endpoints::answer_handler::{AnswerRecord, ForwardScope, ObservedAnswer};
+use crate::gateway::{Gateway, ReportedSend};
 use crate::peers::peer_message::PeerStamp;
-use crate::peers::placed_note::PlacedNote;
-use crate::peers::waiting_notes::MAX_MESSAGES;
+use crate::peers::pending_messages::MAX_MESSAGES;
+use crate::peers::placement_message::PlacementMessage;
 use crate::{
     EndpointKey, FleetTable, LEADERS_PER_DATA_CENTRE, LinkTransfers, LoadCount, LoadSource, PeerHeartbeat,
     PeerTable, QuarantineMessage, RouteCounts, SumKey, VmKey, short_digest,
@@ -39,13 +39,13 @@
 pub(crate) struct LoadDigest {
     pub scope: DigestScope,
     loads: Vec<(EndpointKey, u32, u64, u64)>,
-    placed: Vec<PlacedNote>,
+    placed: Vec<PlacementMessage>,
     /// Outcomes of sends that concern other VMs, each with the VM that observed it.
-    reports: Vec<TellerReport>,
+    reports: Vec<ReportedSend>,
     /// Quarantine evidence and entries: requests under which endpoints crash.
     cases: Vec<QuarantineMessage>,
     /// Records that endpoints reported about themselves in answers.
-    answers: Vec<AnswerNote>,
+    answers: Vec<AnswerRecord>,
     /// Counts of answers, by version, for services in a rollout.
     rollouts: Vec<(SumKey, RouteCounts)>,
     /// Cordoned engines, and for how long, in microseconds.
@@ -63,8 +63,8 @@
 
 /// Messages that wait to be sent with a digest.
 struct DigestMessages {
-    placed: Vec<PlacedNote>,
-    reports: Vec<TellerReport>,
+    placed: Vec<PlacementMessage>,
+    reports: Vec<ReportedSend>,
     cases: Vec<QuarantineMessage>,
     answers: Vec<ObservedAnswer>,
     rollouts: Vec<(SumKey, RouteCounts)>,
@@ -74,10 +74,10 @@
     /// Builds the digest of this VM itself.
     pub(crate) fn of_vm(gateway: &Gateway) -> Self {
         let messages = DigestMessages {
-            placed: gateway.near_notes.take(),
-            reports: gateway.near_reports.take(),
-            cases: gateway.near_cases.take(),
-            answers: gateway.near_answers.take(),
+            placed: gateway.local_placements.take(),
+            reports: gateway.local_send_reports.take(),
+            cases: gateway.local_quarantine_messages.take(),
+            answers: gateway.local_answers.take(),
             rollouts: gateway.rollouts().sums.near.take(),
         };
         let now = gateway.now();
@@ -93,10 +93,10 @@
     pub(crate) fn of_data_centre(gateway: &Gateway, is_first: bool) -> Self {
         let local_vms = gateway.peers().local_vms();
         let messages = DigestMessages {
-            placed: gateway.far_notes.take(),
-            reports: gateway.far_reports.take(),
-            cases: gateway.far_cases.take(),
-            answers: gateway.far_answers.take(),
+            placed: gateway.remote_placements.take(),
+            reports: gateway.remote_send_reports.take(),
+            cases: gateway.remote_quarantine_messages.take(),
+            answers: gateway.remote_answers.take(),
             rollouts: gateway.rollouts().sums.far.take_if(is_first),
         };
         let now = gateway.now();
@@ -109,10 +109,10 @@
     /// Builds the digest of all other data centres, which this VM relays as a leader within its own.
     pub(crate) fn of_elsewhere(gateway: &Gateway, is_first: bool) -> Self {
         let messages = DigestMessages {
-            placed: gateway.passed_notes.take(),
-            reports: gateway.passed_reports.take(),
-            cases: gateway.passed_cases.take(),
-            answers: gateway.passed_answers.take(),
+            placed: gateway.relayed_placements.take(),
+            reports: gateway.relayed_send_reports.take(),
+            cases: gateway.relayed_quarantine_messages.take(),
+            answers: gateway.relayed_answers.take(),
             rollouts: gateway.rollouts().sums.passed.take_if(is_first),
         };
         let now = gateway.now();
@@ -163,12 +163,12 @@
             placed,
             reports,
             cases,
-            answers: answers.iter().map(|answer| AnswerNote::of(answer, now)).collect(),
+            answers: answers.iter().map(|answer| AnswerRecord::of(answer, now)).collect(),
             rollouts,
             closed: cordoned_engines(table, scope, now),
             moves: transfers,
             weights: observed_weights(table, scope, now),
-            named: gateway.named_ages(),
+            named: gateway.publication_ages(),
             heard: Vec::new(),
         }
     }
@@ -238,17 +238,17 @@
             }
         }
         drop(table);
-        gateway.apply_named_ages(&self.named);
-        gateway.take_notes(&self.cases, self.scope, vm, is_leader);
+        gateway.apply_publication_ages(&self.named);
+        gateway.apply_quarantine_messages(&self.cases, self.scope, vm, is_leader);
         let forward = ForwardScope::of(self.scope, is_local, is_leader);
-        gateway.apply_answer_notes(&self.answers, forward);
+        gateway.apply_answer_records(&self.answers, forward);
         gateway.add_rollout_sums(&self.rollouts, forward);
         if is_local {
-            self.placed.iter().for_each(|message| gateway.far_notes.push(message.clone()));
-            self.reports.iter().for_each(|report| gateway.report_far(*report));
+            self.placed.iter().for_each(|message| gateway.remote_placements.push(message.clone()));
+            self.reports.iter().for_each(|report| gateway.record_remote_report(*report));
         } else if is_leader && self.scope == DigestScope::DataCentre {
-            self.placed.iter().for_each(|message| gateway.passed_notes.push(message.clone()));
-            self.reports.iter().for_each(|report| gateway.passed_reports.push(*report));
+            self.placed.iter().for_each(|message| gateway.relayed_placements.push(message.clone()));
+            self.reports.iter().for_each(|report| gateway.relayed_send_reports.push(*report));
         }
     }
 }
--- a/crates/gateway/src/peers/peer_message.rs
+++ b/crates/gateway/src/peers/peer_message.rs
@@ -6,7 +6,7 @@
 //!
 //! UDP, not QUIC: a message replaces the previous one, or what builds on it detects its loss.
 
-use crate::peers::kept_digest::CacheDigest;
+use crate::peers::cache_digest::CacheDigest;
 use crate::peers::load_digest::LoadDigest;
 use crate::store::store_updates::StoreUpdates;
 use crate::{StorePosition, VmKey};
--- a/crates/gateway/src/peers/waiting_notes.rs
+++ b/crates/gateway/src/peers/pending_messages.rs
@@ -7,15 +7,15 @@
 
 /// Messages of one kind that wait to be sent.
 #[derive(Debug)]
-pub(crate) struct WaitingNotes<T>(Mutex<Vec<T>>);
+pub(crate) struct PendingMessages<T>(Mutex<Vec<T>>);
 
-impl<T> Default for WaitingNotes<T> {
+impl<T> Default for PendingMessages<T> {
     fn default() -> Self {
         Self(Mutex::default())
     }
 }
 
-impl<T> WaitingNotes<T> {
+impl<T> PendingMessages<T> {
     /// Adds a message.
     pub(crate) fn push(&self, message: T) {
         let mut messages = self.0.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/gateway/src/peers/placed_note.rs
+++ b/crates/gateway/src/peers/placement_message.rs
@@ -11,7 +11,7 @@
 
 /// A placed request: its engine, and the segments that the engine will cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct PlacedNote {
+pub(crate) struct PlacementMessage {
     pub key: EndpointKey,
     pub parts: Vec<(u64, u32)>,
     pub salt: u64,
@@ -19,9 +19,9 @@
     pub saves: Vec<(u8, EndpointKey)>,
 }
 
-impl PlacedNote {
+impl PlacementMessage {
     /// Whether there is anything to propagate.
-    pub(crate) fn has_parts(&self) -> bool {
+    pub(crate) fn has_segments(&self) -> bool {
         !self.parts.is_empty()
     }
 
--- a/crates/gateway/src/peers/relayed_news.rs
+++ b/crates/gateway/src/peers/relayed_updates.rs
@@ -12,9 +12,9 @@
 
 /// Incarnation and sequence of the newest relayed message of each sender.
 #[derive(Debug, Default)]
-pub(crate) struct RelayedNews(Mutex<HashMap<VmKey, (u64, u64)>>);
+pub(crate) struct RelayedUpdates(Mutex<HashMap<VmKey, (u64, u64)>>);
 
-impl RelayedNews {
+impl RelayedUpdates {
     /// Records a message; returns whether it is newer than all earlier ones of its sender.
     pub(crate) fn record(&self, stamp: PeerStamp) -> bool {
         let mut newest = self.0.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/gateway/src/quarantine/mod.rs
+++ b/crates/gateway/src/quarantine/mod.rs
@@ -1,4 +1,4 @@
 //! Quarantine of requests that crash endpoints.
 
-pub(crate) mod quarantine_desk;
 pub(crate) mod quarantine_task;
+pub(crate) mod quarantine_tracker;
--- a/crates/gateway/src/quarantine/quarantine_task.rs
+++ b/crates/gateway/src/quarantine/quarantine_task.rs
@@ -7,7 +7,7 @@
 
 use crate::gateway::Gateway;
 use crate::operators::gateway_metrics::KindLabel;
-use crate::quarantine::quarantine_desk::StoredHold;
+use crate::quarantine::quarantine_tracker::StoredQuarantine;
 use crate::store::store_link::StoreLink;
 use crate::{QuarantinePhase, QuarantinedRequest, RequestKey, StoreRefusal, StoreTransaction};
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Prefix of the keys of quarantines; the request's digest follows.
-pub(crate) const HOLD_PREFIX: &str = "spanfold/held/";
+pub(crate) const QUARANTINE_PREFIX: &str = "spanfold/held/";
 
 /// Interval between checks for expired quarantines and due writes, in milliseconds.
 const POLL_INTERVAL_MILLIS: u64 = 500;
@@ -35,7 +35,7 @@
             () = gateway.evidence_received.notified() => {}
             () = gateway.until(wake_at) => {}
         }
-        gateway.judge_requests();
+        gateway.evaluate_requests();
         if gateway.now() >= next_sweep_at {
             sweep(&gateway);
             next_sweep_at = gateway.now().after_millis(POLL_INTERVAL_MILLIS);
@@ -97,10 +97,10 @@
         let grant = (dialect.grant)(remaining_millis.max(MIN_LEASE_MILLIS));
         let Some(Ok(grant)) = self.link.call("grant", &grant, dialect.read_grant).await else { return false };
         let label = self.gateway.desk().label(request).to_owned();
-        let quarantine = StoredHold { round: row.round, endings: row.endings, request: label };
+        let quarantine = StoredQuarantine { round: row.round, endings: row.endings, request: label };
         // Plain structs of numbers and texts always have a JSON form.
         let value = serde_json::to_vec(&quarantine).unwrap_or_default();
-        let key = format!("{HOLD_PREFIX}{request}");
+        let key = format!("{QUARANTINE_PREFIX}{request}");
         let mut stored_position = None;
         for _ in 0..2 {
             let write = StoreTransaction {
@@ -115,7 +115,7 @@
                 }
                 Some(Err(StoreRefusal::Conflict(items))) => {
                     let Some(item) = items.first() else { return false };
-                    let stored = serde_json::from_slice::<StoredHold>(&item.value);
+                    let stored = serde_json::from_slice::<StoredQuarantine>(&item.value);
                     if stored.is_ok_and(|stored| stored.round >= row.round) {
                         return true;
                     }
@@ -129,7 +129,7 @@
 
     async fn remove(&mut self, request: RequestKey) -> bool {
         let dialect = self.gateway.dialect.store;
-        let removals = vec![format!("{HOLD_PREFIX}{request}")];
+        let removals = vec![format!("{QUARANTINE_PREFIX}{request}")];
         let write = StoreTransaction { removals, ..StoreTransaction::default() };
         matches!(
             self.link.call("write", &(dialect.transact)(&write), dialect.read_transact).await,
--- a/crates/gateway/src/quarantine/quarantine_desk.rs
+++ b/crates/gateway/src/quarantine/quarantine_tracker.rs
@@ -8,7 +8,7 @@
 //! Invariant: a VM forwards each message that is new to it, so that the message reaches every VM once through
 //! the leaders; lost messages are repeated periodically.
 
-use crate::endpoints::end_watch::{BrokenSend, millis};
+use crate::endpoints::crash_detector::{BrokenSend, millis};
 use crate::gateway::Gateway;
 use crate::operators::gateway_metrics::KindLabel;
 use crate::peers::load_digest::DigestScope;
@@ -78,7 +78,7 @@
     }
 
     /// Records that an endpoint crashed while it had a request of this VM.
-    pub(crate) fn take_own_report(&self, report: &CrashReport, send: &BrokenSend, endpoint: &str) {
+    pub(crate) fn record_own_crash(&self, report: &CrashReport, send: &BrokenSend, endpoint: &str) {
         let now = self.now();
         let mut tracker = self.desk();
         if !tracker.quarantine.record_report(report, now) {
@@ -91,19 +91,19 @@
             age_ms = millis(report.age_micros), endings = crash_count;
             "quarantine.evidence");
         let message = QuarantineMessage::of_report(report, now);
-        self.near_cases.push(message);
-        self.far_cases.push(message);
+        self.local_quarantine_messages.push(message);
+        self.remote_quarantine_messages.push(message);
         self.loads_changed.notify_one();
         self.evidence_received.notify_one();
     }
 
     /// Whether one more crash may quarantine a request.
-    pub(crate) fn is_close_to_hold(&self, request: RequestKey) -> bool {
+    pub(crate) fn is_near_quarantine(&self, request: RequestKey) -> bool {
         self.desk().quarantine.is_close(request)
     }
 
     /// Evaluates the requests whose evidence is due.
-    pub(crate) fn judge_requests(&self) {
+    pub(crate) fn evaluate_requests(&self) {
         let changes = self.desk().quarantine.evaluate_due(self.now());
         self.publish_changes(&changes);
     }
@@ -112,15 +112,15 @@
     pub(crate) fn record_answered(&self, request: RequestKey) {
         if self.desk().quarantine.record_answered(request, self.now()) {
             let message = QuarantineMessage::Answered { request, ago_micros: 0 };
-            self.near_cases.push(message);
-            self.far_cases.push(message);
+            self.local_quarantine_messages.push(message);
+            self.remote_quarantine_messages.push(message);
         }
     }
 
     /// Applies messages of the VM `reporter`, and queues new ones for other VMs.
     ///
     /// These are the VMs to which the reporter has not sent them.
-    pub(crate) fn take_notes(
+    pub(crate) fn apply_quarantine_messages(
         &self,
         messages: &[QuarantineMessage],
         scope: DigestScope,
@@ -140,20 +140,20 @@
             }
             self.publish_changes(&changes);
             if scope == DigestScope::Vm && is_local {
-                self.far_cases.push(*message);
+                self.remote_quarantine_messages.push(*message);
             } else if scope == DigestScope::DataCentre && is_leader {
-                self.passed_cases.push(*message);
+                self.relayed_quarantine_messages.push(*message);
             }
         }
     }
 
     /// Records that an endpoint's entry vanished without an announced departure.
-    pub(crate) fn note_lapsed(&self, crash: EndpointCrash) {
+    pub(crate) fn record_vanished_entry(&self, crash: EndpointCrash) {
         self.desk().quarantine.record_crash(crash);
     }
 
     /// Applies a quarantine that is in the store.
-    pub(crate) fn take_stored_hold(&self, request: RequestKey, stored: &StoredHold) {
+    pub(crate) fn apply_stored_quarantine(&self, request: RequestKey, stored: &StoredQuarantine) {
         let changes = {
             let mut tracker = self.desk();
             tracker.describe(request, &stored.request);
@@ -201,8 +201,8 @@
                 QuarantineChange::Lifted { request, round } => {
                     log::warn!(digest:% = request, round; "quarantine.lifted");
                     let message = QuarantineMessage::Lifted { request, round };
-                    self.near_cases.push(message);
-                    self.far_cases.push(message);
+                    self.local_quarantine_messages.push(message);
+                    self.remote_quarantine_messages.push(message);
                     ("lifted", request, round)
                 }
             };
@@ -226,14 +226,14 @@
         };
         let message =
             QuarantineMessage::Held { request, round, endings, rest_micros: until.micros_since(now) };
-        self.near_cases.push(message);
-        self.far_cases.push(message);
+        self.local_quarantine_messages.push(message);
+        self.remote_quarantine_messages.push(message);
     }
 }
 
 /// Quarantine in its stored form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct StoredHold {
+pub(crate) struct StoredQuarantine {
     pub round: u32,
     pub endings: u32,
     /// Client account, method, host and path.
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -3,13 +3,13 @@
 //! Invariant: after each send it is known whether the endpoint may have run the request. It has not run it
 //! if no byte left this process or if the endpoint refused it.
 
-use crate::clock::TimeIsUp;
+use crate::clock::DeadlinePassed;
 use crate::endpoints::answer_facts::{AnswerFacts, AnswerOrigin};
 use crate::endpoints::answer_handler::AnswerSource;
 use crate::endpoints::endpoint_pool::{EndpointConnection, ExchangeError};
 use crate::gateway::CountGuard;
 use crate::operators::gateway_metrics::KindLabel;
-use crate::peers::placed_note::PlacedNote;
+use crate::peers::placement_message::PlacementMessage;
 use crate::requests::flight::SendFlight;
 use crate::requests::outgoing_body::OutgoingBody;
 use crate::requests::request_run::RequestRun;
@@ -166,7 +166,7 @@
         // A request that was sent once has passed admission.
         let admission = context.admission().filter(|_| self.sends == 0);
         let required = model.and_then(|model| gateway.required_weights(model));
-        let unreachable = gateway.cut_data_centres();
+        let unreachable = gateway.partitioned_data_centres();
         let unreachable: Vec<&str> = unreachable.iter().map(String::as_str).collect();
         // Read at each attempt: a change of home regions applies to waiting requests, too.
         let routes = gateway.routes()?;
@@ -244,7 +244,7 @@
             }
             (id, address)
         };
-        gateway.note_placed(PlacedNote::new(&choice, &context.segments));
+        gateway.record_placement(PlacementMessage::new(&choice, &context.segments));
         gateway.metrics.kept_tokens.inc_by(choice.kept.kept_tokens + choice.kept.moved_tokens);
         let mut flight = SendFlight::new(&gateway, &choice, (endpoint, address), transfers);
         flight.versioned = self.versioned(choice.key);
@@ -370,12 +370,12 @@
     async fn send_to(&mut self, mut flight: SendFlight, request: Request<OutgoingBody>) -> SendResult {
         let gateway = Arc::clone(&self.gateway);
         let result = match self.exchange(&flight, request).await {
-            Err(TimeIsUp) if gateway.now() >= self.start_deadline() => {
+            Err(DeadlinePassed) if gateway.now() >= self.start_deadline() => {
                 // The engine is not at fault: it was busy for longer than expected.
                 self.record_sent();
                 SendResult::Lost("not begun before its weights are overdue")
             }
-            Err(TimeIsUp) => {
+            Err(DeadlinePassed) => {
                 flight.record_outcome(SendOutcome::Silent);
                 self.record_sent();
                 SendResult::Lost("silent")
@@ -428,7 +428,7 @@
         &self,
         flight: &SendFlight,
         request: Request<OutgoingBody>,
-    ) -> Result<ExchangeResult, TimeIsUp> {
+    ) -> Result<ExchangeResult, DeadlinePassed> {
         let gateway = &self.gateway;
         let (progress, is_long) = (request.body().progress(), request.body().is_long());
         let mut exchange =
@@ -440,10 +440,10 @@
             let result = gateway.within(deadline.min(poll_at), exchange.as_mut()).await;
             let now = gateway.now();
             match result {
-                Err(TimeIsUp) if now >= self.start_deadline() => return result,
-                Err(TimeIsUp) if now < deadline => {}
+                Err(DeadlinePassed) if now >= self.start_deadline() => return result,
+                Err(DeadlinePassed) if now < deadline => {}
                 // At another endpoint the upload would start from zero.
-                Err(TimeIsUp)
+                Err(DeadlinePassed)
                     if is_long && progress.remaining() < remaining && deadline < self.context.deadline =>
                 {
                     (deadline, remaining) = (self.answer_deadline(), progress.remaining());
--- a/crates/gateway/src/requests/flight.rs
+++ b/crates/gateway/src/requests/flight.rs
@@ -150,7 +150,7 @@
     pub(crate) fn record_outcome(&self, outcome: SendOutcome) {
         self.gateway.table().record_outcome(self.key, outcome, self.gateway.now());
         if let Some(send) = &self.versioned {
-            self.gateway.observe_version(send, outcome);
+            self.gateway.record_version_outcome(send, outcome);
         }
         let is_served = matches!(outcome, SendOutcome::Answered | SendOutcome::Failed);
         if is_served && self.gateway.table().record_served(self.key, self.sent_at) {
--- a/crates/gateway/src/requests/long_answer.rs
+++ b/crates/gateway/src/requests/long_answer.rs
@@ -4,7 +4,7 @@
 //! breaks is visibly aborted: it never looks complete.
 
 use crate::SendOutcome;
-use crate::clock::TimeIsUp;
+use crate::clock::DeadlinePassed;
 use crate::memory::{ChunkFault, ChunkSender, chunk_channel};
 use crate::requests::dispatch::ReceivedHead;
 use crate::requests::flight::SendFlight;
@@ -53,7 +53,7 @@
         let broken = match gateway.within(deadline, self.forward_body()).await {
             Ok(Ok(outcome)) => return self.run.set_outcome(outcome),
             Ok(Err(broken)) => broken,
-            Err(TimeIsUp) => {
+            Err(DeadlinePassed) => {
                 self.run.set_outcome("answer out of time");
                 BrokenAnswer("no end in time".to_owned())
             }
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -1,14 +1,14 @@
 //! Handles one request of a caller, from its head to its answer.
 
+pub(crate) mod accept_loop;
 pub(crate) mod dispatch;
 pub(crate) mod event_reader;
 pub(crate) mod flight;
-pub(crate) mod front_door;
 pub(crate) mod long_answer;
 pub(crate) mod outgoing_body;
 pub(crate) mod own_answer;
+pub(crate) mod quota_queue;
 pub(crate) mod relay;
 pub(crate) mod request_context;
 pub(crate) mod request_run;
-pub(crate) mod share_desk;
 pub(crate) mod stream_relay;
--- a/crates/gateway/src/requests/share_desk.rs
+++ b/crates/gateway/src/requests/quota_queue.rs
@@ -17,13 +17,13 @@
 
 /// This VM's right, and the requests that wait for endpoints.
 #[derive(Debug, Default)]
-pub(crate) struct ShareDesk {
+pub(crate) struct QuotaQueue {
     right: Mutex<Option<CachedRight>>,
     queue: Mutex<ShareQueue>,
     request_count: AtomicU64,
 }
 
-impl ShareDesk {
+impl QuotaQueue {
     /// Locks the waiting requests; the lock is not held across an await.
     pub(crate) fn queue(&self) -> MutexGuard<'_, ShareQueue> {
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
@@ -49,7 +49,7 @@
     /// their list or it may not have them.
     pub(crate) fn sharing_right(&self) -> Option<Arc<ShareRight>> {
         let now = self.now();
-        let membership = *self.list_standing();
+        let membership = *self.list_membership();
         if !membership.holds(now) {
             return None;
         }
--- a/crates/gateway/src/requests/relay.rs
+++ b/crates/gateway/src/requests/relay.rs
@@ -4,7 +4,7 @@
 //! own refusal makes "not run" true again. Second sends consume the retry budget.
 
 use crate::SendOutcome;
-use crate::clock::TimeIsUp;
+use crate::clock::DeadlinePassed;
 use crate::gateway::{CountGuard, Gateway};
 use crate::memory::{BodyFault, MemoryReservation, read_limited};
 use crate::operators::gateway_metrics::KindLabel;
@@ -45,7 +45,7 @@
     request: Request<Incoming>,
     disconnect: Arc<Notify>,
 ) -> Response<AnswerBody> {
-    gateway.until_fresh().await;
+    gateway.wait_until_current().await;
     let received_at = gateway.now();
     let (head, body) = request.into_parts();
     let context = match RequestContext::parse(&gateway, &head, received_at) {
@@ -100,7 +100,7 @@
             gateway.metrics.memory.ends.get_or_create(&KindLabel::new("body")).inc();
             Err(OwnAnswer::not_run("no memory for its body", NO_MEMORY_RETRY_MILLIS))
         }
-        Err(TimeIsUp) => Err(OwnAnswer::plain(StatusCode::REQUEST_TIMEOUT, "the body came too slowly")),
+        Err(DeadlinePassed) => Err(OwnAnswer::plain(StatusCode::REQUEST_TIMEOUT, "the body came too slowly")),
     }
 }
 
@@ -173,7 +173,7 @@
             run.record_broken(&received.flight);
             return Err(FailedAnswer { run, cause: "the answer broke off" });
         }
-        Err(TimeIsUp) => {
+        Err(DeadlinePassed) => {
             received.flight.record_outcome(SendOutcome::Silent);
             return Err(FailedAnswer { run, cause: "the answer did not end" });
         }
--- a/crates/gateway/src/requests/request_run.rs
+++ b/crates/gateway/src/requests/request_run.rs
@@ -3,7 +3,7 @@
 //! Invariant: each request writes one log line when it ends, with the inputs of its last decision, also if
 //! its caller left.
 
-use crate::endpoints::end_watch::{BrokenEndpoint, BrokenSend, ProbeCompletion, millis};
+use crate::endpoints::crash_detector::{BrokenEndpoint, BrokenSend, ProbeCompletion, millis};
 use crate::gateway::{CountGuard, Gateway};
 use crate::memory::MemoryReservation;
 use crate::operators::gateway_metrics::KindLabel;
@@ -181,7 +181,7 @@
         }
         let Some(key) = self.request_key() else { return };
         if let Some(mut completion) = self.probe_completion.take()
-            && self.gateway.is_close_to_hold(key)
+            && self.gateway.is_near_quarantine(key)
         {
             // The sender is dropped once the endpoint's crash is recorded, which ends the wait, too.
             let _ = completion.wait_for(|is_probed| *is_probed).await;
@@ -189,7 +189,7 @@
         let next_evaluation_at = self.gateway.desk().quarantine.evaluation_at_of(key);
         if let Some(next_evaluation_at) = next_evaluation_at {
             self.gateway.until(next_evaluation_at).await;
-            self.gateway.judge_requests();
+            self.gateway.evaluate_requests();
         }
     }
 
@@ -333,7 +333,7 @@
         (self.context.route.repeatable() || !self.may_have_run)
             && self.sends < self.context.route.attempts
             && self.gateway.now() < self.context.deadline
-            && self.gateway.try_spend_repeat(&self.context.service)
+            && self.gateway.try_spend_second_send(&self.context.service)
     }
 
     /// Records when the first event or the answer arrived.
--- a/crates/gateway/src/requests/stream_relay.rs
+++ b/crates/gateway/src/requests/stream_relay.rs
@@ -5,7 +5,7 @@
 //! cannot be resumed is visibly aborted: it never looks complete.
 
 use crate::SendOutcome;
-use crate::clock::TimeIsUp;
+use crate::clock::DeadlinePassed;
 use crate::endpoints::answer_handler::AnswerSource;
 use crate::memory::{ChunkFault, ChunkSender, chunk_channel};
 use crate::requests::dispatch::{ReceivedHead, SendResult};
@@ -44,7 +44,7 @@
                 "stream.broke");
             return Err(FailedAnswer { run, cause: "the stream broke" });
         }
-        Err(TimeIsUp) => {
+        Err(DeadlinePassed) => {
             flight.record_outcome(SendOutcome::Silent);
             return Err(FailedAnswer { run, cause: "no first event" });
         }
--- a/crates/gateway/src/rollout/rollout_tracker.rs
+++ b/crates/gateway/src/rollout/rollout_tracker.rs
@@ -30,7 +30,7 @@
     }
 
     /// Applies an order of the operator for `service`.
-    pub(crate) fn order_rollout(&self, service: &str, item: &StoreItem) {
+    pub(crate) fn apply_rollout_order(&self, service: &str, item: &StoreItem) {
         let order = (self.dialect.decode.rollout)(&item.value).and_then(|order| {
             let is_same_service = order.service == service;
             is_same_service
@@ -111,7 +111,7 @@
     }
 
     /// Records the version of an endpoint whose entry was written.
-    pub(crate) fn note_version(&self, entry: &EndpointEntry) {
+    pub(crate) fn record_entry_version(&self, entry: &EndpointEntry) {
         let mut rollouts = self.rollouts();
         if let Some(run) = rollouts.run_mut(&entry.service) {
             run.has_other_versions |= *entry.version != *run.order.target && !entry.draining;
@@ -141,7 +141,7 @@
     }
 
     /// Records the outcome of a send to an endpoint of a service with a rollout.
-    pub(crate) fn observe_version(&self, send: &VersionedSend, outcome: SendOutcome) {
+    pub(crate) fn record_version_outcome(&self, send: &VersionedSend, outcome: SendOutcome) {
         let Some(answer) = send.answer(outcome) else { return };
         if self.rollouts().observe(&send.service, send.route, &answer) {
             self.log_suspicion(&send.service, "answers");
@@ -158,7 +158,7 @@
             match forward {
                 ForwardScope::Nobody => {}
                 ForwardScope::Remote => rollouts.sums.far.add(*key, *counts),
-                ForwardScope::Passed => rollouts.sums.passed.add(*key, *counts),
+                ForwardScope::Relayed => rollouts.sums.passed.add(*key, *counts),
             }
         }
         let suspected = rollouts.add(reported);
--- a/crates/gateway/src/store/era_check.rs
+++ b/crates/gateway/src/store/era_check.rs
@@ -14,7 +14,7 @@
         if self.era.record(era) {
             // What the backup lacks is written again soon; entries that disappear meanwhile get a grace
             // period.
-            self.note_store_trouble(self.now());
+            self.record_store_failure(self.now());
             self.desk().quarantine.rewrite_all();
             log::warn!(era, source; "store.restored");
         }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -238,14 +238,14 @@
             return;
         }
         if let Some(micros) = update.trouble_micros {
-            self.gateway.note_store_trouble(Moment(now.0.saturating_sub(micros)));
+            self.gateway.record_store_failure(Moment(now.0.saturating_sub(micros)));
         }
         self.record_newest_position(update.to);
         if update.to > self.position && !self.apply_changes(vm, update, now).await {
             return;
         }
         self.confirmed_at = self.confirmed_at.max(Moment(now.0.saturating_sub(update.age_micros)));
-        self.gateway.list_standing().record_list_confirmation(self.confirmed_at);
+        self.gateway.list_membership().record_list_confirmation(self.confirmed_at);
         if self.is_polling && self.gateway.peers().precedes_as_leader(vm) {
             self.is_polling = false;
             log::info!(teller = vm.0, position:% = self.position; "watch.ceased");
@@ -444,7 +444,7 @@
                     answer = &mut exchange => break answer,
                     Some(message) = received.recv() => self.apply_message(message).await,
                     // A call made before a suspension is made again: its answer may be lost long since.
-                    () = self.gateway.jumped.notified() => return None,
+                    () = self.gateway.clock_jumped.notified() => return None,
                 }
                 let is_behind = self.behind_since.is_some();
                 if was_behind && !is_behind {
@@ -462,9 +462,9 @@
         self.set_position(position);
         self.record_newest_position(position);
         self.confirmed_at = self.gateway.now();
-        self.gateway.list_standing().record_list_confirmation(self.confirmed_at);
+        self.gateway.list_membership().record_list_confirmation(self.confirmed_at);
         self.behind_since = None;
-        self.gateway.note_fresh();
+        self.gateway.mark_current();
     }
 
     fn set_position(&mut self, position: StorePosition) {
@@ -554,7 +554,7 @@
         };
         self.failures += 1;
         let now = self.gateway.now();
-        self.gateway.note_store_trouble(now);
+        self.gateway.record_store_failure(now);
         if self.failures == MIN_OUTAGE_FAILURES {
             log::warn!(dependency = "store", call = kind, cause = cause.as_str(); "dependency.lost");
         }
@@ -575,7 +575,7 @@
 
     fn record_answer(&mut self) {
         if self.failures >= MIN_OUTAGE_FAILURES {
-            self.gateway.note_store_trouble(self.gateway.now());
+            self.gateway.record_store_failure(self.gateway.now());
             log::info!(dependency = "store", failures = self.failures; "dependency.regained");
         }
         self.failures = 0;
--- a/crates/gateway/src/store/lease_keeper.rs
+++ b/crates/gateway/src/store/lease_keeper.rs
@@ -213,7 +213,7 @@
     fn record_renewal(&mut self, sent_at: Moment, ttl_millis: u64) {
         self.lease_safe_until = sent_at.after_millis(ttl_millis.saturating_sub(LEASE_MARGIN_MILLIS));
         let safe_until = self.lease_safe_until;
-        self.gateway.list_standing().record_listing(safe_until, self.gateway.now());
+        self.gateway.list_membership().record_listing(safe_until, self.gateway.now());
         self.right.send_modify(|right| {
             if right.fencing != 0 {
                 right.until = safe_until;
@@ -345,7 +345,7 @@
     ) -> Option<Result<T, StoreRefusal>> {
         let result = self.link.call(kind, call, decoder).await;
         if matches!(result, None | Some(Err(StoreRefusal::NotDone(_)))) {
-            self.gateway.note_store_trouble(self.gateway.now());
+            self.gateway.record_store_failure(self.gateway.now());
         }
         result
     }
--- a/crates/gateway/src/store/mod.rs
+++ b/crates/gateway/src/store/mod.rs
@@ -13,4 +13,4 @@
 pub(crate) mod update_propagator;
 
 pub(crate) use snapshot_client::fetch_snapshot;
-pub(crate) use snapshot_port::{CopyDesk, answer_copy, sweep_copies};
+pub(crate) use snapshot_port::{SnapshotCache, answer_snapshot_request, evict_expired_snapshot};
--- a/crates/gateway/src/store/snapshot_port.rs
+++ b/crates/gateway/src/store/snapshot_port.rs
@@ -69,16 +69,19 @@
 
 /// The snapshot that this VM serves.
 #[derive(Debug, Default)]
-pub(crate) struct CopyDesk(Mutex<SnapshotState>);
+pub(crate) struct SnapshotCache(Mutex<SnapshotState>);
 
-impl CopyDesk {
+impl SnapshotCache {
     fn state(&self) -> MutexGuard<'_, SnapshotState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Answers a request for a snapshot.
-pub(crate) fn answer_copy(gateway: &Gateway, request: &Request<Incoming>) -> Response<AnswerBody> {
+pub(crate) fn answer_snapshot_request(
+    gateway: &Gateway,
+    request: &Request<Incoming>,
+) -> Response<AnswerBody> {
     let (kind, response) = match try_answer(gateway, request) {
         Ok(content) => ("given", Response::new(full_body(content))),
         Err(status) => {
@@ -136,7 +139,7 @@
 }
 
 /// Discards an expired snapshot: few are requested once all VMs have started.
-pub(crate) fn sweep_copies(gateway: &Gateway) {
+pub(crate) fn evict_expired_snapshot(gateway: &Gateway) {
     let now = gateway.now();
     let mut state = gateway.copies.state();
     if state.packed.as_ref().is_some_and(|(_, valid_until)| now >= *valid_until) {
--- a/crates/gateway/src/store/store_view.rs
+++ b/crates/gateway/src/store/store_view.rs
@@ -8,8 +8,8 @@
 use crate::LeaseHolder;
 use crate::gateway::Gateway;
 use crate::operators::gateway_metrics::KindLabel;
-use crate::quarantine::quarantine_desk::StoredHold;
-use crate::quarantine::quarantine_task::HOLD_PREFIX;
+use crate::quarantine::quarantine_task::QUARANTINE_PREFIX;
+use crate::quarantine::quarantine_tracker::StoredQuarantine;
 use crate::rollout::RECORD_PREFIX;
 use crate::store::lease_keeper::{ORDERS_KEY, VM_PREFIX};
 use crate::{
@@ -213,7 +213,7 @@
         } else if let Some(data_centre) = item.key.strip_prefix(keys.evacuations) {
             self.apply_evacuation(data_centre, item.position);
         } else if let Some(service) = item.key.strip_prefix(keys.rollouts) {
-            self.gateway.order_rollout(service, item);
+            self.gateway.apply_rollout_order(service, item);
         } else if item.key.starts_with(RECORD_PREFIX) {
             self.gateway.record_rollout(item);
         } else if let Some(service) = item.key.strip_prefix(keys.rollout_statuses) {
@@ -223,7 +223,7 @@
                 Ok(entry) => self.gateway.peers().list_at(entry, self.gateway.now()),
                 Err(error) => log::error!(key = item.key.as_str(), cause:% = error; "vm.unreadable"),
             }
-        } else if let Some(digest) = item.key.strip_prefix(HOLD_PREFIX) {
+        } else if let Some(digest) = item.key.strip_prefix(QUARANTINE_PREFIX) {
             self.apply_quarantine(digest, item);
         } else if item.key == PEER_KEY_KEY {
             match item.value.as_slice().try_into() {
@@ -270,7 +270,7 @@
     fn apply_endpoint_entry(&mut self, entry: EndpointEntry, position: StorePosition) {
         let id = entry.id.clone();
         let id = id.as_str();
-        self.gateway.note_version(&entry);
+        self.gateway.record_entry_version(&entry);
         let (service, draining) = (entry.service.clone(), entry.draining);
         let (key, socket_address) = (entry.key(), entry.address);
         let (is_readable_again, is_changed) = {
@@ -282,12 +282,12 @@
         }
         if is_changed && self.is_bulk {
             self.bulk_count += 1;
-            self.gateway.note_started_at(socket_address, key);
+            self.gateway.record_started_at(socket_address, key);
         } else if is_changed {
             let (service, address) = (service.as_str(), socket_address.to_string());
             let address = address.as_str();
             log::info!(endpoint = id, service, address, draining, position:%; "endpoint.entry");
-            self.gateway.note_started_at(socket_address, key);
+            self.gateway.record_started_at(socket_address, key);
         }
     }
 
@@ -324,9 +324,9 @@
     fn apply_quarantine(&self, digest: &str, item: &StoreItem) {
         let request = digest.parse::<RequestKey>().map_err(|error| error.to_string());
         let stored_hold =
-            serde_json::from_slice::<StoredHold>(&item.value).map_err(|error| error.to_string());
+            serde_json::from_slice::<StoredQuarantine>(&item.value).map_err(|error| error.to_string());
         match request.and_then(|request| Ok((request, stored_hold?))) {
-            Ok((request, stored_hold)) => self.gateway.take_stored_hold(request, &stored_hold),
+            Ok((request, stored_hold)) => self.gateway.apply_stored_quarantine(request, &stored_hold),
             Err(cause) => {
                 log::error!(key = item.key.as_str(), cause = cause.as_str(); "quarantine.unreadable");
             }
@@ -352,15 +352,15 @@
             (key, crash)
         };
         if let Some(crash) = crash {
-            self.gateway.note_lapsed(crash);
-            self.gateway.record_ended(key, "its entry is gone");
+            self.gateway.record_vanished_entry(crash);
+            self.gateway.confirm_crash(key, "its entry is gone");
         }
     }
 
     fn apply_weights(&self, item: &StoreItem) {
         match (self.gateway.dialect.decode.weights)(&item.value) {
             Ok(target) => {
-                if self.gateway.name_weights(&target) {
+                if self.gateway.record_publication(&target) {
                     log::info!(model = target.model.as_str(), version = target.version; "weights.named");
                 }
             }
@@ -377,7 +377,7 @@
             self.keys.remove(key).is_some_and(|record| record.position.era < position.era);
         let now = self.gateway.now();
         if let Some(id) = key.strip_prefix(self.gateway.dialect.keys.endpoints) {
-            let grace_deadline = self.gateway.hold_until();
+            let grace_deadline = self.gateway.entry_grace_deadline();
             self.gateway.table().mark_entry_missing(id, grace_deadline);
             self.gateway.table().clear_unreadable(id);
             if grace_deadline == Moment(0) {
--- a/crates/gateway/src/store/update_propagator.rs
+++ b/crates/gateway/src/store/update_propagator.rs
@@ -96,7 +96,7 @@
         if index > 0 {
             tokio::time::sleep(plan.interval).await;
         }
-        let trouble_micros = gateway.store_trouble_age();
+        let trouble_micros = gateway.store_failure_age();
         let updates = StoreUpdates { from, to, body, is_spread, pause_micros, age_micros, trouble_micros };
         gossip::send_message(
             gateway,
