--- a/crates/decide/examples/placement_cost.rs
+++ b/crates/decide/examples/placement_cost.rs
@@ -47,7 +47,7 @@
         });
         let vms = (size.vms / size.data_centres) as u64;
         let digest = timed(|round| {
-            let load = LoadCount { running: 1, unread_tokens: 100, memory_tokens: 900 };
+            let load = LoadCount { running: 1, pending_prefill_tokens: 100, memory_tokens: 900 };
             let key = engine_key(round as usize % size.engines);
             table.apply_peer_loads(LoadSource::Vm(VmKey(u64::from(round) % vms)), &[(key, load)], NOW);
             table.apply_peer_transfers(LoadSource::Vm(VmKey(u64::from(round) % vms)), &[], NOW);
@@ -82,16 +82,16 @@
     let request = PlacementRequest {
         service: "llm",
         data_centre: "dc-0",
-        silent: &[],
-        parts: &segments,
+        unreachable_data_centres: &[],
+        segments: &segments,
         prompt_tokens: 9_100,
         output_tokens: 10,
         objective_millis: 500,
         bytes: 9_200,
         model: Some("m"),
-        wanted: None,
+        required_weights: None,
         memory_fraction: 1.0,
-        wall: "shared",
+        isolation_scope: "shared",
         exclude: &[],
         versions: &VersionSplit::Any,
         homes: HomeRegions::default(),
@@ -110,7 +110,7 @@
     for engine in 0..size.engines {
         table.apply_entry(entry(engine, size), Moment(0));
     }
-    let load = LoadCount { running: 1, unread_tokens: 900, memory_tokens: 9_000 };
+    let load = LoadCount { running: 1, pending_prefill_tokens: 900, memory_tokens: 9_000 };
     for source in 0..3 {
         let keys: Vec<_> = (0..size.engines).map(|engine| (engine_key(engine), load)).collect();
         table.apply_peer_loads(LoadSource::Vm(VmKey(source)), &keys, NOW);
@@ -168,7 +168,7 @@
         let changes = (0..size.segments).map(|segment| {
             // All stores contain the first segment; each other segment is in one store.
             let key = if segment == 0 { 7 } else { 1_000 + segment * size.stores as u64 + index as u64 };
-            CacheChange { salt: salt.clone(), part: key, segment_text: String::new(), tokens: 5_000 }
+            CacheChange { cache_salt: salt.clone(), segment: key, segment_text: String::new(), tokens: 5_000 }
         });
         let update = CacheUpdate { incarnation: 1, changes: changes.collect(), ..CacheUpdate::default() };
         if let Some(row) = table.store_mut(EndpointKey::of(&format!("store-{store}"))) {
--- a/crates/decide/examples/share_ways.rs
+++ b/crates/decide/examples/share_ways.rs
@@ -19,22 +19,22 @@
 
 /// The strategy of the gateway: shares for some VMs, by VM lists that change slowly.
 fn own_share(vm: &SimulatedVm, _: &SharedEndpoint, now: Moment) -> u64 {
-    if vm.standing.holds(now) { vm.part } else { 0 }
+    if vm.membership.may_use_share(now) { vm.share } else { 0 }
 }
 
 /// The same with VM lists of any age, also before other VMs list this VM.
 fn any_list(vm: &SimulatedVm, _: &SharedEndpoint, _: Moment) -> u64 {
-    vm.part
+    vm.share
 }
 
 /// An equal share for each VM, at least one request.
 fn equal_shares(vm: &SimulatedVm, scene: &SharedEndpoint, _: Moment) -> u64 {
-    (scene.terms.count / (vm.right.all.len() as u64 + 1)).max(1)
+    (scene.terms.count / (vm.right.other_vms.len() as u64 + 1)).max(1)
 }
 
 /// The whole limit for one VM, the first by key in its list.
 fn one_sender(vm: &SimulatedVm, scene: &SharedEndpoint, _: Moment) -> u64 {
-    let is_first = vm.right.all.iter().all(|other| vm.right.own < *other);
+    let is_first = vm.right.other_vms.iter().all(|other| vm.right.own < *other);
     if is_first { scene.terms.count } else { 0 }
 }
 
--- a/crates/decide/src/admit/admission.rs
+++ b/crates/decide/src/admit/admission.rs
@@ -56,15 +56,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionView {
     /// Time at which the prompt arrived.
-    pub received: Moment,
+    pub received_at: Moment,
     /// Deadline for the answer.
-    pub limit: Moment,
+    pub answer_deadline: Moment,
     /// Latency objective of the route, in milliseconds.
     pub objective_millis: u64,
     /// Time without an event after which the caller disconnects, in milliseconds.
-    pub silence_millis: u64,
+    pub silence_timeout_millis: u64,
     /// Priority of the prompt; zero is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
 }
 
 /// Admission decision for a prompt.
@@ -86,7 +86,8 @@
     /// use spanfold_decide::AdmissionView;
     /// use spanfold_entity::Moment;
     /// let view = AdmissionView {
-    ///     received: Moment(0), limit: Moment(3_000_000), objective_millis: 500, silence_millis: 2_000, rank: 1,
+    ///     received_at: Moment(0), answer_deadline: Moment(3_000_000), objective_millis: 500,
+    ///     silence_timeout_millis: 2_000, priority: 1,
     /// };
     /// assert!(view.memory_fraction(Moment(0)) > view.memory_fraction(Moment(600_000)));
     /// ```
@@ -94,7 +95,7 @@
         if now >= self.in_time_deadline() {
             return LATE_MEMORY_FRACTION;
         }
-        (MAX_MEMORY_FRACTION - PRIORITY_MEMORY_FRACTION * f64::from(self.rank)).max(MIN_MEMORY_FRACTION)
+        (MAX_MEMORY_FRACTION - PRIORITY_MEMORY_FRACTION * f64::from(self.priority)).max(MIN_MEMORY_FRACTION)
     }
 
     /// Decides on a prompt for which `choice` is the best endpoint.
@@ -104,7 +105,8 @@
     /// use spanfold_decide::{AdmissionVerdict, AdmissionView, PlacementChoice};
     /// use spanfold_entity::Moment;
     /// let view = AdmissionView {
-    ///     received: Moment(0), limit: Moment(3_000_000), objective_millis: 500, silence_millis: 2_000, rank: 0,
+    ///     received_at: Moment(0), answer_deadline: Moment(3_000_000), objective_millis: 500,
+    ///     silence_timeout_millis: 2_000, priority: 0,
     /// };
     /// let free = PlacementChoice { expected_micros: 200_000, ..PlacementChoice::default() };
     /// let full = PlacementChoice { excess_tokens: 900, ..free.clone() };
@@ -120,8 +122,8 @@
         if choice.excess_tokens == 0 && (is_in_time || is_queue_short) {
             return AdmissionVerdict::Go;
         }
-        let max_wait_millis = (self.silence_millis as f64 * MAX_WAIT_FRACTION) as u64;
-        if first_event_at < self.received.after_millis(max_wait_millis).min(self.limit) {
+        let max_wait_millis = (self.silence_timeout_millis as f64 * MAX_WAIT_FRACTION) as u64;
+        if first_event_at < self.received_at.after_millis(max_wait_millis).min(self.answer_deadline) {
             AdmissionVerdict::Wait
         } else {
             AdmissionVerdict::Refuse(RETURN_DELAY_MILLIS)
@@ -129,6 +131,6 @@
     }
 
     fn in_time_deadline(&self) -> Moment {
-        self.received.after_micros((self.objective_millis as f64 * 1_000.0 * IN_TIME_FRACTION) as u64)
+        self.received_at.after_micros((self.objective_millis as f64 * 1_000.0 * IN_TIME_FRACTION) as u64)
     }
 }
--- a/crates/decide/src/admit/blocked_counts.rs
+++ b/crates/decide/src/admit/blocked_counts.rs
@@ -53,11 +53,11 @@
 
 impl FleetTable {
     /// Counts the endpoints of a service that do not accept a request, by reason.
-    pub fn blocked(&self, request: &PlacementRequest<'_>, now: Moment) -> BlockedCounts {
+    pub fn count_blocked(&self, request: &PlacementRequest<'_>, now: Moment) -> BlockedCounts {
         let mut counts = BlockedCounts::default();
         for (key, row) in self.rows_of(request.service) {
             counts.listed += 1;
-            let is_backing_off = row.rest.next_at(now) > now;
+            let is_backing_off = row.backoff.next_at(now) > now;
             let reason = if row.is_departing(now) {
                 &mut counts.departing
             } else if !row.takes_work(now) {
--- a/crates/decide/src/admit/held_bytes.rs
+++ b/crates/decide/src/admit/held_bytes.rs
@@ -69,7 +69,7 @@
         while self.total_bytes > self.limit_bytes {
             let evictable = self.rows.iter().filter(|(candidate, row)| row.is_evictable || **candidate == id);
             let Some(largest) = evictable.max_by_key(|(_, row)| row.bytes).map(|(id, _)| *id) else { break };
-            self.end(largest);
+            self.release(largest);
             evicted.push(largest);
         }
         evicted
@@ -84,14 +84,14 @@
     }
 
     /// Protects a reservation from eviction, since its work begins.
-    pub fn settle(&mut self, id: ReservationId) {
+    pub fn pin(&mut self, id: ReservationId) {
         if let Some(row) = self.rows.get_mut(&id) {
             row.is_evictable = false;
         }
     }
 
     /// Removes a reservation.
-    pub fn end(&mut self, id: ReservationId) {
+    pub fn release(&mut self, id: ReservationId) {
         if let Some(row) = self.rows.remove(&id) {
             self.total_bytes -= row.bytes;
         }
--- a/crates/decide/src/admit/placement.rs
+++ b/crates/decide/src/admit/placement.rs
@@ -62,9 +62,9 @@
     /// Data centre of this VM.
     pub data_centre: &'a str,
     /// Data centres that appear to be cut off.
-    pub silent: &'a [&'a str],
+    pub unreachable_data_centres: &'a [&'a str],
     /// Segments of the prompt; empty for plain services.
-    pub parts: &'a [PromptSegment],
+    pub segments: &'a [PromptSegment],
     /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
     /// Maximum number of generated tokens; zero if the request states none.
@@ -76,13 +76,13 @@
     /// Model that the request names, if any.
     pub model: Option<&'a str>,
     /// Required versions of the model's weights, if any was published.
-    pub wanted: Option<&'a RequiredWeights>,
+    pub required_weights: Option<&'a RequiredWeights>,
     /// Fraction of an engine's memory that the request may fill.
     pub memory_fraction: f64,
     /// Regions in which the request may be served.
     pub homes: HomeRegions<'a>,
     /// Isolation scope of cached segments: all accounts, or one account.
-    pub wall: &'a str,
+    pub isolation_scope: &'a str,
     /// Endpoints to which this request was already sent.
     pub exclude: &'a [EndpointKey],
     /// Endpoint versions that the request may use.
@@ -122,8 +122,8 @@
 
 impl ShareView<'_> {
     /// Returns the requests per window that this VM may send to an endpoint.
-    pub(crate) fn part(&self, key: EndpointKey, row: &EndpointRow, terms: &RateTerms) -> u64 {
-        self.right.map_or(0, |right| right.part(key, &row.entry.data_centre, terms))
+    pub(crate) fn share(&self, key: EndpointKey, row: &EndpointRow, terms: &RateTerms) -> u64 {
+        self.right.map_or(0, |right| right.share(key, &row.entry.data_centre, terms))
     }
 }
 
@@ -143,9 +143,9 @@
     /// Recorded weight version of the engine.
     pub version: Option<u64>,
     /// Salt digest under which the engine shares cached segments.
-    pub salt: u64,
+    pub salt_digest: u64,
     /// Segments cached there, transferred there and to be saved.
-    pub kept: TransferPlan,
+    pub transfers: TransferPlan,
     /// Number of endpoints evaluated.
     pub candidates: u32,
 }
@@ -205,7 +205,7 @@
         if may_be_overdue(row, &choice, request, now) {
             continue;
         }
-        let recompute_micros = choice.kept.recomputed_tokens as f64 * RECOMPUTE_MICROS_PER_TOKEN;
+        let recompute_micros = choice.transfers.recomputed_tokens as f64 * RECOMPUTE_MICROS_PER_TOKEN;
         let cost = choice.expected_micros as f64
             + choice.excess_tokens as f64 * EXCESS_TOKEN_MICROS
             + recompute_micros
@@ -221,12 +221,12 @@
         && memory_tokens.is_some()
     {
         let (_, transfers) = estimates.find(row, table, request, now);
-        let cached_count = row.kept.leading(request.parts, choice.salt);
-        choice.kept.fetches =
-            plan_fetches(transfers, request.parts, cached_count, transfer_terms(row, request));
+        let cached_count = row.cached_segments.leading(request.segments, choice.salt_digest);
+        choice.transfers.fetches =
+            plan_fetches(transfers, request.segments, cached_count, transfer_terms(row, request));
         if choice.version.is_some() {
             let target = SaveTarget { data_centre: &row.entry.data_centre, homes: request.homes };
-            choice.kept.saves = plan_saves(table, target, request.parts, choice.salt, now);
+            choice.transfers.saves = plan_saves(table, target, request.segments, choice.salt_digest, now);
         }
     }
     Some(choice)
@@ -248,7 +248,7 @@
 }
 
 fn is_healthy(row: &EndpointRow, now: Moment) -> bool {
-    !row.is_ejected(now) && !row.is_cordoned(now) && !row.rest.is_backing_off(now)
+    !row.is_ejected(now) && !row.is_cordoned(now) && !row.backoff.is_backing_off(now)
 }
 
 /// Values shared by many engines, computed once per request. Salt digest and store holders are the same for
@@ -278,7 +278,7 @@
             let transfers = SegmentTransfers::find(
                 table,
                 &self.holders[holders_index].2,
-                request.parts,
+                request.segments,
                 data_centre,
                 now,
             );
@@ -297,12 +297,13 @@
     ) -> usize {
         let found = self.holders.iter().position(|(entry_version, _, _)| *entry_version == version);
         found.unwrap_or_else(|| {
-            let text = format_cache_salt(request.wall, request.model.unwrap_or(""), version.unwrap_or(0));
+            let text =
+                format_cache_salt(request.isolation_scope, request.model.unwrap_or(""), version.unwrap_or(0));
             let salt_digest = short_digest(&text);
             self.holders.push((
                 version,
                 salt_digest,
-                SegmentHolders::find(table, request.parts, salt_digest, now),
+                SegmentHolders::find(table, request.segments, salt_digest, now),
             ));
             self.holders.len() - 1
         })
@@ -316,7 +317,7 @@
 
 fn transfer_terms(row: &EndpointRow, request: &PlacementRequest<'_>) -> TransferTerms {
     TransferTerms {
-        read_micros: PREFILL_MICROS_PER_TOKEN * row.pace(),
+        read_micros: PREFILL_MICROS_PER_TOKEN * row.slowdown(),
         objective_micros: (request.objective_millis * MICROS_PER_MILLI) as f64,
     }
 }
@@ -328,7 +329,7 @@
     request: &PlacementRequest<'_>,
     now: Moment,
 ) -> bool {
-    let (Some(model), Some(required)) = (request.model, request.wanted) else { return false };
+    let (Some(model), Some(required)) = (request.model, request.required_weights) else { return false };
     let Some(version) = row.entry.weights.get(model) else { return false };
     let expected = now.after_micros(choice.expected_micros * LATEST_START_FACTOR);
     let start = expected.after_millis(LATEST_START_MARGIN_MILLIS);
@@ -337,13 +338,13 @@
 
 fn surcharge(row: &EndpointRow, request: &PlacementRequest<'_>) -> f64 {
     let mut cost = FAILURE_MICROS * row.failure_ratio().powi(2);
-    if request.silent.contains(&row.entry.data_centre.as_str()) {
+    if request.unreachable_data_centres.contains(&row.entry.data_centre.as_str()) {
         cost += UNREACHABLE_MICROS;
     }
     if row.entry.data_centre != request.data_centre {
         cost += CROSSING_MICROS + CROSSING_BYTE_MICROS * request.bytes as f64;
     }
-    if let (Some(model), Some(required)) = (request.model, request.wanted)
+    if let (Some(model), Some(required)) = (request.model, request.required_weights)
         && row.entry.weights.get(model).is_some_and(|loaded| *loaded < required.newest)
     {
         cost += OLD_WEIGHTS_MICROS;
@@ -369,8 +370,8 @@
     let load = row.load(now);
     let terms = transfer_terms(row, request);
     let token_micros = terms.read_micros;
-    let cached_count = row.kept.leading(request.parts, candidate.salt_digest);
-    let plan = plan_transfers(candidate.transfers, request.parts, cached_count, terms);
+    let cached_count = row.cached_segments.leading(request.segments, candidate.salt_digest);
+    let plan = plan_transfers(candidate.transfers, request.segments, cached_count, terms);
     let available_tokens = (plan.kept_tokens + plan.moved_tokens).min(u64::from(request.prompt_tokens));
     let prefill_tokens = u64::from(request.prompt_tokens) - available_tokens;
     let output_tokens =
@@ -379,7 +380,7 @@
     let missing_tokens = (load.memory_tokens + needed_tokens).saturating_sub(candidate.memory_tokens);
     let fillable_tokens = (candidate.memory_tokens as f64 * request.memory_fraction) as u64;
     let excess_tokens = (load.memory_tokens + needed_tokens).saturating_sub(fillable_tokens);
-    let queue_micros = load.unread_tokens as f64 * token_micros;
+    let queue_micros = load.pending_prefill_tokens as f64 * token_micros;
     let prefill_micros = prefill_tokens as f64 * token_micros;
     let memory_wait_micros = missing_tokens as f64 * token_micros * MEMORY_WAIT_FACTOR;
     // Segments are transferred while prompts queued before are prefilled.
@@ -387,7 +388,7 @@
         + queue_micros.max(plan.transfer_time_micros)
         + prefill_micros
         + memory_wait_micros) as u64;
-    let load = LoadCount { running: 1, unread_tokens: prefill_tokens, memory_tokens: needed_tokens };
+    let load = LoadCount { running: 1, pending_prefill_tokens: prefill_tokens, memory_tokens: needed_tokens };
     let (version, salt_digest) = (engine_version(row, request), candidate.salt_digest);
     PlacementChoice {
         key,
@@ -396,8 +397,8 @@
         excess_tokens,
         queue_micros: queue_micros as u64,
         version,
-        salt: salt_digest,
-        kept: plan,
+        salt_digest,
+        transfers: plan,
         candidates: 0,
     }
 }
@@ -408,7 +409,7 @@
     // Endpoints slow down when they are nearly full, and queue requests beyond their slots.
     let fill = f64::from(running) / f64::from(slots);
     let overflow = f64::from((running + 1).saturating_sub(slots)) / f64::from(slots);
-    let expected_micros = (PLAIN_ANSWER_MICROS * row.pace() * (1.0 + 0.3 * fill + overflow)) as u64;
+    let expected_micros = (PLAIN_ANSWER_MICROS * row.slowdown() * (1.0 + 0.3 * fill + overflow)) as u64;
     let load = LoadCount { running: 1, ..LoadCount::default() };
     PlacementChoice { key, load, expected_micros, ..PlacementChoice::default() }
 }
--- a/crates/decide/src/admit/share_queue.rs
+++ b/crates/decide/src/admit/share_queue.rs
@@ -38,11 +38,11 @@
     /// Number of the request at this VM, in the order of arrival.
     pub number: u64,
     /// Priority of the request; zero is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
     /// Client account of the request; empty if it has none.
     pub account: String,
     /// Time at which the request arrived.
-    pub received: Moment,
+    pub received_at: Moment,
     /// Latency objective of the route, in milliseconds.
     pub objective_millis: u64,
 }
@@ -115,7 +115,7 @@
 impl ServiceQueue {
     fn sort_key(&self, entry: &QueueEntry) -> QueueKey {
         let served = self.served_counts.get(&entry.account).copied().unwrap_or_default();
-        (entry.rank, served, entry.received, entry.number)
+        (entry.priority, served, entry.received_at, entry.number)
     }
 
     /// Counts the other requests waiting at `now` that precede `entry` and may go at `start_at`.
@@ -172,7 +172,7 @@
     /// use spanfold_decide::{QueueEntry, ShareCapacity, ShareQueue, ShareVerdict};
     /// use spanfold_entity::Moment;
     /// let entry = QueueEntry {
-    ///     number: 1, rank: 0, account: String::new(), received: Moment(0), objective_millis: 300,
+    ///     number: 1, priority: 0, account: String::new(), received_at: Moment(0), objective_millis: 300,
     /// };
     /// let capacity = ShareCapacity {
     ///     next_at: Some(Moment(90_000)), own_per_s: 2.0, all_per_s: 4.0, vms: 2, backoff_until: None,
@@ -190,8 +190,9 @@
         now: Moment,
     ) -> ShareVerdict {
         let queue = self.services.entry(service.to_owned()).or_default();
-        let wait_deadline =
-            entry.received.after_micros((entry.objective_millis as f64 * 1_000.0 * MAX_WAIT_FRACTION) as u64);
+        let wait_deadline = entry
+            .received_at
+            .after_micros((entry.objective_millis as f64 * 1_000.0 * MAX_WAIT_FRACTION) as u64);
         let expected_at = capacity.next_at.map(|next_at| {
             let requests_ahead = queue.count_ahead(entry, next_at.max(now), now);
             next_at
@@ -223,7 +224,7 @@
     }
 
     /// Removes a request that no longer waits.
-    pub fn leave(&mut self, service: &str, number: u64) {
+    pub fn remove(&mut self, service: &str, number: u64) {
         if let Some(queue) = self.services.get_mut(service) {
             queue.remove(number);
         }
--- a/crates/decide/src/admit/shared_rate.rs
+++ b/crates/decide/src/admit/shared_rate.rs
@@ -148,9 +148,9 @@
     /// let mut membership = ListMembership::default();
     /// membership.record_listing(at(9), at(0));
     /// membership.record_list_confirmation(at(1));
-    /// assert!(!membership.holds(at(5)));
+    /// assert!(!membership.may_use_share(at(5)));
     /// membership.record_list_confirmation(at(4));
-    /// assert!(membership.holds(at(5)) && membership.holds(at(20)) && !membership.holds(at(25)));
+    /// assert!(membership.may_use_share(at(5)) && membership.may_use_share(at(20)) && !membership.may_use_share(at(25)));
     /// assert!(membership.is_list_current(at(5)) && !membership.is_list_current(at(8)));
     /// ```
     pub fn record_listing(&mut self, lease_deadline: Moment, now: Moment) {
@@ -174,7 +174,7 @@
 
     /// Whether this VM may use its share. The other VMs have then recorded its entry, and it has recorded
     /// those of VMs that joined or returned at the same time.
-    pub fn holds(&self, now: Moment) -> bool {
+    pub fn may_use_share(&self, now: Moment) -> bool {
         let is_propagated = |since: Option<Moment>| {
             since.is_some_and(|since| self.confirmed_at >= since.after_millis(PROPAGATION_DELAY_MILLIS))
         };
@@ -186,7 +186,7 @@
 
     /// Whether this VM may use its share, is listed, and has a current list.
     pub fn is_list_current(&self, now: Moment) -> bool {
-        self.holds(now)
+        self.may_use_share(now)
             && now < self.lease_deadline
             && now < self.confirmed_at.after_millis(LIST_FRESHNESS_MILLIS)
     }
@@ -202,9 +202,9 @@
     /// Whether this VM is listed and its list is current.
     pub is_list_current: bool,
     /// The other VMs of its data centre that may use their shares.
-    pub near: Vec<VmKey>,
+    pub local_vms: Vec<VmKey>,
     /// All other VMs that may use their shares.
-    pub all: Vec<VmKey>,
+    pub other_vms: Vec<VmKey>,
     /// The other data centres that have such VMs.
     pub remote_data_centres: BTreeSet<String>,
 }
@@ -217,9 +217,9 @@
     /// use spanfold_decide::{EndpointKey, RateTerms, ShareRight, VmKey};
     /// let alone = ShareRight::alone(VmKey::of("vm-1"), "dc-a");
     /// let terms = RateTerms::of_limit(4.0);
-    /// assert_eq!(alone.part(EndpointKey::of("i-1"), "dc-a", &terms), 4);
+    /// assert_eq!(alone.share(EndpointKey::of("i-1"), "dc-a", &terms), 4);
     /// ```
-    pub fn part(&self, endpoint: EndpointKey, data_centre: &str, terms: &RateTerms) -> u64 {
+    pub fn share(&self, endpoint: EndpointKey, data_centre: &str, terms: &RateTerms) -> u64 {
         if terms.needs_current_list && !self.is_list_current {
             return 0;
         }
@@ -247,7 +247,7 @@
     /// assert_eq!(alone.share_of_total(EndpointKey::of("a"), &RateTerms::of_count(20)), 20);
     /// ```
     pub fn share_of_total(&self, key: EndpointKey, terms: &RateTerms) -> u64 {
-        self.share_among(&self.all, key, terms)
+        self.share_among(&self.other_vms, key, terms)
     }
 
     /// Returns the right of a VM that has a current list without other VMs.
@@ -256,8 +256,8 @@
             own,
             data_centre: data_centre.to_owned(),
             is_list_current: true,
-            near: Vec::new(),
-            all: Vec::new(),
+            local_vms: Vec::new(),
+            other_vms: Vec::new(),
             remote_data_centres: BTreeSet::new(),
         }
     }
@@ -265,11 +265,11 @@
     /// Returns the other VMs that share an endpoint of `data_centre`; none if this VM has no share there.
     fn senders(&self, data_centre: &str) -> Option<&[VmKey]> {
         if data_centre == self.data_centre {
-            Some(&self.near)
+            Some(&self.local_vms)
         } else if self.remote_data_centres.contains(data_centre) {
             None
         } else {
-            Some(&self.all)
+            Some(&self.other_vms)
         }
     }
 }
--- a/crates/decide/src/fleet/deployment.rs
+++ b/crates/decide/src/fleet/deployment.rs
@@ -81,9 +81,9 @@
     /// # Examples
     /// ```
     /// use spanfold_decide::RouteRow;
-    /// assert_eq!(RouteRow { objective_millis: 1_200, gap_millis: 300, ..RouteRow::default() }.silence_millis(), 4_800);
+    /// assert_eq!(RouteRow { objective_millis: 1_200, gap_millis: 300, ..RouteRow::default() }.stream_idle_timeout_millis(), 4_800);
     /// ```
-    pub fn silence_millis(&self) -> u64 {
+    pub fn stream_idle_timeout_millis(&self) -> u64 {
         MIN_STREAM_IDLE_TIMEOUT_MILLIS.max(self.objective_millis * 4).max(self.gap_millis * 8)
     }
 
@@ -277,9 +277,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheChange {
     /// Cache salt under which the segment is shared.
-    pub salt: String,
+    pub cache_salt: String,
     /// Key of the segment.
-    pub part: u64,
+    pub segment: u64,
     /// Identity of the segment as the store writes it.
     pub segment_text: String,
     /// Tokens that the store contains after the change; zero if the segment was removed.
@@ -302,7 +302,7 @@
     /// Cache salts and identities of segments whose transfer broke off.
     ///
     /// They occupy space in the store. Only a full index contains them.
-    pub broken: Vec<(String, String)>,
+    pub broken_segments: Vec<(String, String)>,
 }
 
 /// One segment of a prompt: its identity and size, as the caller states them.
--- a/crates/decide/src/fleet/endpoint_row.rs
+++ b/crates/decide/src/fleet/endpoint_row.rs
@@ -14,7 +14,7 @@
     /// Requests that were sent and have not finished.
     pub running: u32,
     /// Prompt tokens that the endpoint still has to prefill before first events.
-    pub unread_tokens: u64,
+    pub pending_prefill_tokens: u64,
     /// Memory that those requests use or will use, in tokens.
     pub memory_tokens: u64,
 }
@@ -23,14 +23,14 @@
     /// Adds `load`.
     pub fn add(&mut self, load: Self) {
         self.running += load.running;
-        self.unread_tokens += load.unread_tokens;
+        self.pending_prefill_tokens += load.pending_prefill_tokens;
         self.memory_tokens += load.memory_tokens;
     }
 
     /// Subtracts `load`, saturating at zero.
     pub fn subtract(&mut self, load: Self) {
         self.running = self.running.saturating_sub(load.running);
-        self.unread_tokens = self.unread_tokens.saturating_sub(load.unread_tokens);
+        self.pending_prefill_tokens = self.pending_prefill_tokens.saturating_sub(load.pending_prefill_tokens);
         self.memory_tokens = self.memory_tokens.saturating_sub(load.memory_tokens);
     }
 }
@@ -108,7 +108,7 @@
     /// Limit of requests a second from all VMs together.
     pub limit: ReportedLimit,
     /// Backoff that it asked this VM for.
-    pub rest: EndpointBackoff,
+    pub backoff: EndpointBackoff,
     /// Whether it announced its departure in an answer.
     pub has_departed: bool,
     /// Headers that were invalid in its last answer.
@@ -120,7 +120,7 @@
     /// Work that other VMs have in flight there, as they report it.
     pub(crate) peer_loads: PeerLoads,
     /// Prompt segments that it is estimated to have cached.
-    pub kept: CachedSegments,
+    pub cached_segments: CachedSegments,
     /// Time until which it gets no new work, because its weights are about to change.
     pub cordoned_until: Moment,
     /// Source of the report that its weights are about to change.
@@ -149,13 +149,13 @@
             evacuated_until: Moment(0),
             cold_until: Moment(0),
             limit: ReportedLimit::default(),
-            rest: EndpointBackoff::default(),
+            backoff: EndpointBackoff::default(),
             has_departed: false,
             invalid_headers: Vec::new(),
             recent_sends: RecentSends::default(),
             own: LoadCount::default(),
             peer_loads: PeerLoads::default(),
-            kept: CachedSegments::default(),
+            cached_segments: CachedSegments::default(),
             cordoned_until: Moment(0),
             cordoned_by: CordonSource::Own,
             listed_weights: Arc::clone(&entry.weights),
@@ -186,7 +186,7 @@
     }
 
     /// Returns its slowdown: the multiple of the expected time that it takes.
-    pub const fn pace(&self) -> f64 {
+    pub const fn slowdown(&self) -> f64 {
         self.slowdown
     }
 
--- a/crates/decide/src/fleet/fleet_answers.rs
+++ b/crates/decide/src/fleet/fleet_answers.rs
@@ -18,7 +18,7 @@
     pub fn record_departure(&mut self, key: EndpointKey, now: Moment) -> bool {
         if let Some(row) = self.rows.get_mut(&key) {
             // No request will be sent there that could use the cache.
-            row.kept.clear();
+            row.cached_segments.clear();
             return !std::mem::replace(&mut row.has_departed, true);
         }
         let is_new = !self.had_departed(key);
@@ -44,12 +44,12 @@
 
     /// Records that an endpoint asked this VM for a backoff of `millis`.
     pub fn record_backoff(&mut self, key: EndpointKey, millis: u64, now: Moment) -> BackoffChange {
-        self.rows.get_mut(&key).map_or(BackoffChange::None, |row| row.rest.extend(millis, now))
+        self.rows.get_mut(&key).map_or(BackoffChange::None, |row| row.backoff.extend(millis, now))
     }
 
     /// Records that an endpoint served a request sent at `sent_at`; returns whether that completes a backoff.
     pub fn record_served(&mut self, key: EndpointKey, sent_at: Moment) -> bool {
-        self.rows.get_mut(&key).is_some_and(|row| row.rest.record_served(sent_at))
+        self.rows.get_mut(&key).is_some_and(|row| row.backoff.record_served(sent_at))
     }
 
     /// Returns the capacity of a service's endpoints after their backoffs, if all are backing off.
@@ -65,7 +65,7 @@
         let mut capacity = ShareCapacity { vms, ..ShareCapacity::default() };
         let rows = self.rows_of(service).map(|(_, row)| row);
         for row in rows.filter(|row| row.takes_work(now) && may_serve(row)) {
-            let until = row.rest.until(now)?;
+            let until = row.backoff.until(now)?;
             capacity.backoff_until =
                 Some(capacity.backoff_until.map_or(until, |earliest| earliest.min(until)));
             capacity.add_backed_off(row);
@@ -85,7 +85,7 @@
         row.entry.weights = self.weights.intern(Arc::clone(&row.entry.weights));
         row.observed_weights_at = Some(now);
         row.cordoned_until = now;
-        row.kept.clear();
+        row.cached_segments.clear();
         self.changing_weights.insert(key);
         true
     }
@@ -122,6 +122,6 @@
 
     /// Returns the number of endpoints that are backing off from this VM.
     pub fn backing_off_count(&self, now: Moment) -> usize {
-        self.rows.values().filter(|row| row.rest.is_backing_off(now)).count()
+        self.rows.values().filter(|row| row.backoff.is_backing_off(now)).count()
     }
 }
--- a/crates/decide/src/fleet/fleet_entries.rs
+++ b/crates/decide/src/fleet/fleet_entries.rs
@@ -48,7 +48,7 @@
                 entry.weights = self.weights.intern(entry.weights);
             }
             if entry.weights != row.entry.weights {
-                row.kept.clear();
+                row.cached_segments.clear();
             }
             // An entry that was written for another reason repeats the former warm-up time.
             if entry.cold_millis != row.entry.cold_millis {
--- a/crates/decide/src/fleet/fleet_limits.rs
+++ b/crates/decide/src/fleet/fleet_limits.rs
@@ -64,9 +64,9 @@
         now: Moment,
     ) -> Option<Moment> {
         let terms = self.rate_terms(row, shares.cold, now);
-        let mut next_at = row.rest.next_at(now);
+        let mut next_at = row.backoff.next_at(now);
         for terms in terms.iter().flatten() {
-            let share = shares.part(key, row, terms);
+            let share = shares.share(key, row, terms);
             next_at = next_at.max(row.recent_sends.next_at(share, terms.window_millis, now)?);
         }
         Some(next_at)
@@ -88,7 +88,7 @@
         let window_millis = terms.iter().flatten().map(|terms| terms.window_millis).max();
         let takes_request = self.next_share(key, row, shares, now).is_some_and(|at| at <= now);
         if takes_request && let Some(row) = self.rows.get_mut(&key) {
-            row.rest.record_send(now);
+            row.backoff.record_send(now);
             if let Some(window_millis) = window_millis {
                 row.recent_sends.push(window_millis, now);
             }
@@ -111,14 +111,14 @@
             match lowest {
                 Some(terms) => {
                     capacity.all_per_s += terms.per_s(terms.count);
-                    capacity.own_per_s += terms.per_s(shares.part(key, row, &terms));
+                    capacity.own_per_s += terms.per_s(shares.share(key, row, &terms));
                 }
-                None if row.rest.is_recovered(now) => return None, // The request would have been placed there.
+                None if row.backoff.is_recovered(now) => return None, // The request would have been placed there.
                 None => capacity.add_backed_off(row),
             }
-            all_back_off &= row.rest.is_backing_off(now);
+            all_back_off &= row.backoff.is_backing_off(now);
             capacity.backoff_until =
-                [capacity.backoff_until, row.rest.until(now)].into_iter().flatten().min();
+                [capacity.backoff_until, row.backoff.until(now)].into_iter().flatten().min();
             let next_at = self.next_share(key, row, shares, now);
             capacity.next_at = [capacity.next_at, next_at].into_iter().flatten().min();
         }
--- a/crates/decide/src/fleet/fleet_loads.rs
+++ b/crates/decide/src/fleet/fleet_loads.rs
@@ -37,7 +37,7 @@
             .get(&row.entry.service)
             .and_then(|service| service.engine.as_ref())
             .map_or(0, |engine| engine.memory_tokens);
-        row.kept.note(segments, salt, (memory as f64 * USABLE_CACHE_FRACTION) as u64);
+        row.cached_segments.record(segments, salt, (memory as f64 * USABLE_CACHE_FRACTION) as u64);
     }
 
     /// Applies a digest of the work that other VMs have in flight.
--- a/crates/decide/src/fleet/fleet_table.rs
+++ b/crates/decide/src/fleet/fleet_table.rs
@@ -104,14 +104,14 @@
     /// Endpoints that announced their departure in an answer.
     pub departed: usize,
     /// Endpoints that asked this VM for a backoff that has not expired.
-    pub resting: usize,
+    pub backing_off: usize,
 }
 
 /// Result of a sweep over all endpoints.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetSweep {
     /// Endpoints that were removed: their entries are gone and this VM has no work in flight there.
-    pub gone: Vec<EndpointKey>,
+    pub removed: Vec<EndpointKey>,
     /// Counts of the remaining endpoints.
     pub counts: FleetCounts,
 }
@@ -173,11 +173,11 @@
 
     /// Removes idle endpoints whose entries are gone and counts the others, in one pass.
     pub fn sweep(&mut self, now: Moment) -> FleetSweep {
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         let mut counts = FleetCounts::default();
         for (key, row) in &mut self.rows {
             if row.grace_deadline.is_some_and(|deadline| now >= deadline) && row.own.running == 0 {
-                gone.push(*key);
+                removed.push(*key);
                 continue;
             }
             row.decay_slowdown();
@@ -185,12 +185,12 @@
             counts.suspected += usize::from(row.is_suspected());
             counts.limited += usize::from(row.limit.per_s().is_some());
             counts.departed += usize::from(row.has_departed);
-            counts.resting += usize::from(row.rest.is_backing_off(now));
+            counts.backing_off += usize::from(row.backoff.is_backing_off(now));
         }
         counts.cold = if now < self.max_cold_until { self.cold_count(now) } else { 0 };
         let rows = &self.rows;
         self.changing_weights.retain(|key| rows.get(key).is_some_and(|row| row.has_changing_weights(now)));
-        for key in &gone {
+        for key in &removed {
             let Some(row) = self.rows.remove(key) else { continue };
             self.own_busy.remove(key);
             if let Some(keys) = self.keys_by_service.get_mut(&row.entry.service) {
@@ -204,7 +204,7 @@
             row.sweep(now);
         }
         self.reported_rows.retain(|_, rows| now < rows.received_at.after_millis(REMOVED_RETENTION_MILLIS));
-        FleetSweep { gone, counts }
+        FleetSweep { removed, counts }
     }
 
     /// Records a removed incarnation, and evicts the oldest record when the limit is reached.
--- a/crates/decide/src/fleet/fleet_weights.rs
+++ b/crates/decide/src/fleet/fleet_weights.rs
@@ -48,7 +48,7 @@
             row.entry.weights = self.weights.intern(Arc::new(weights.clone()));
             row.observed_weights_at = Some(now);
             row.cordoned_until = now;
-            row.kept.clear();
+            row.cached_segments.clear();
             self.changing_weights.insert(key);
         }
     }
@@ -70,7 +70,7 @@
             let model = model.clone();
             Arc::make_mut(&mut row.entry.weights).insert(model, version);
             row.entry.weights = self.weights.intern(Arc::clone(&row.entry.weights));
-            row.kept.clear();
+            row.cached_segments.clear();
             row.cordoned_until = now;
             let reported_at =
                 if is_local { &mut row.reported_weights_at } else { &mut row.remote_weights_at };
--- a/crates/decide/src/fleet/peer_table.rs
+++ b/crates/decide/src/fleet/peer_table.rs
@@ -186,7 +186,7 @@
     }
 
     /// Records a digest; false if outdated or its sender is not in the table.
-    pub fn hear(&mut self, vm: VmKey, incarnation: u64, sequence: u64, now: Moment) -> bool {
+    pub fn record_digest(&mut self, vm: VmKey, incarnation: u64, sequence: u64, now: Moment) -> bool {
         let Some(row) = self.rows.get_mut(&vm) else { return false };
         if row.sequence.0 == incarnation && row.sequence.1 >= sequence {
             return false;
@@ -316,9 +316,9 @@
         let departed = self.departed.iter().filter(|(_, row)| now < row.share_deadline);
         let departed = departed.map(|(vm, row)| (*vm, row.data_centre.as_str()));
         for (vm, data_centre) in listed.chain(departed) {
-            right.all.push(vm);
+            right.other_vms.push(vm);
             if data_centre == self.own.data_centre {
-                right.near.push(vm);
+                right.local_vms.push(vm);
             } else if !right.remote_data_centres.contains(data_centre) {
                 right.remote_data_centres.insert(data_centre.to_owned());
             }
@@ -358,7 +358,7 @@
     /// let mut table = PeerTable::new(vm("vm-1", 10));
     /// table.list(vm("vm-2", 200));
     /// assert_eq!(table.leader_rank(Moment(0)), 0);
-    /// table.hear(VmKey::of("vm-2"), 1, 1, Moment(0));
+    /// table.record_digest(VmKey::of("vm-2"), 1, 1, Moment(0));
     /// assert_eq!(table.leader_rank(Moment(1)), 1);
     /// ```
     pub fn leader_rank(&self, now: Moment) -> usize {
--- a/crates/decide/src/fleet/update_fragments.rs
+++ b/crates/decide/src/fleet/update_fragments.rs
@@ -59,7 +59,7 @@
 /// let fragments = split_update(&events).unwrap();
 /// assert_eq!(fragments.len(), 1);
 /// let mut reassembly = UpdateReassembly::default();
-/// let progress = reassembly.take(VmKey::of("vm-1"), at(6), at(7), &fragments[0]);
+/// let progress = reassembly.add_fragment(VmKey::of("vm-1"), at(6), at(7), &fragments[0]);
 /// assert_eq!(progress, ReassemblyProgress::Whole(events));
 /// ```
 pub fn split_update(events: &[StoreEvent]) -> Option<Vec<UpdateFragment>> {
@@ -96,7 +96,7 @@
 
 impl UpdateReassembly {
     /// Adds a fragment of the update between two positions; returns the state of the update.
-    pub fn take(
+    pub fn add_fragment(
         &mut self,
         reporter: VmKey,
         from: StorePosition,
--- a/crates/decide/src/kept/cached_segments.rs
+++ b/crates/decide/src/kept/cached_segments.rs
@@ -27,9 +27,9 @@
     /// use spanfold_decide::{CachedSegments, PromptSegment};
     /// let segments = [PromptSegment { key: 1, tokens: 100 }, PromptSegment { key: 2, tokens: 50 }];
     /// let mut cached = CachedSegments::default();
-    /// cached.note(&segments[1..], 7, 1_000);
+    /// cached.record(&segments[1..], 7, 1_000);
     /// assert_eq!(cached.leading(&segments, 7), 0);
-    /// cached.note(&segments, 7, 1_000);
+    /// cached.record(&segments, 7, 1_000);
     /// assert_eq!(cached.leading(&segments, 7), 2);
     /// assert_eq!(cached.leading(&segments, 8), 0);
     /// ```
@@ -45,7 +45,7 @@
     }
 
     /// Records a use of `segments`, and evicts what exceeds `capacity_tokens`.
-    pub fn note(&mut self, segments: &[PromptSegment], salt: u64, capacity_tokens: u64) {
+    pub fn record(&mut self, segments: &[PromptSegment], salt: u64, capacity_tokens: u64) {
         // Most other prompts use the first segment too, so it is marked as used last and evicted last.
         for segment in segments.iter().rev() {
             let key = salted_key(segment.key, salt);
--- a/crates/decide/src/kept/index_reporter.rs
+++ b/crates/decide/src/kept/index_reporter.rs
@@ -40,7 +40,7 @@
         now: Moment,
     ) -> IndexReport {
         let mut stores: Vec<_> =
-            table.stores().filter(|(_, row)| row.is_heard(now)).map(|(store, _)| store).collect();
+            table.stores().filter(|(_, row)| row.is_reachable(now)).map(|(store, _)| store).collect();
         let offset = stores.iter().position(|store| *store > self.last_store).unwrap_or(0);
         stores.rotate_left(offset);
         let mut report = IndexReport::default();
--- a/crates/decide/src/kept/outdated_segments.rs
+++ b/crates/decide/src/kept/outdated_segments.rs
@@ -15,7 +15,7 @@
 /// # Examples
 /// ```
 /// use spanfold_decide::{CacheChange, CacheUpdate, outdated_segments};
-/// let change = |salt: &str| CacheChange { salt: salt.into(), part: 7, segment_text: "7".into(), tokens: 9 };
+/// let change = |salt: &str| CacheChange { cache_salt: salt.into(), segment: 7, segment_text: "7".into(), tokens: 9 };
 /// let update = CacheUpdate { changes: vec![change("shared.m.1")], ..CacheUpdate::default() };
 /// assert_eq!(outdated_segments(&update, "m", 2), [("shared.m.1".to_owned(), "7".to_owned())]);
 /// assert!(outdated_segments(&update, "m", 1).is_empty());
@@ -27,11 +27,11 @@
     let renewed: HashSet<&str> = update
         .changes
         .iter()
-        .filter(|change| !is_outdated(&change.salt))
+        .filter(|change| !is_outdated(&change.cache_salt))
         .map(|change| change.segment_text.as_str())
         .collect();
-    let listed = update.changes.iter().map(|change| (&change.salt, &change.segment_text));
-    let broken = update.broken.iter().map(|(salt, segment)| (salt, segment));
+    let listed = update.changes.iter().map(|change| (&change.cache_salt, &change.segment_text));
+    let broken = update.broken_segments.iter().map(|(salt, segment)| (salt, segment));
     listed
         .chain(broken)
         .filter(|(salt, segment)| is_outdated(salt) && !renewed.contains(segment.as_str()))
--- a/crates/decide/src/kept/poll_schedule.rs
+++ b/crates/decide/src/kept/poll_schedule.rs
@@ -23,9 +23,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollSchedule {
     /// Duration of a long poll, in milliseconds.
-    pub held_millis: u64,
+    pub long_poll_millis: u64,
     /// Delay after a call, in milliseconds.
-    pub rest_millis: u64,
+    pub delay_millis: u64,
 }
 
 impl PollSchedule {
@@ -34,20 +34,21 @@
     /// # Examples
     /// ```
     /// use spanfold_decide::PollSchedule;
-    /// assert_eq!(PollSchedule::new(9, 12), PollSchedule { held_millis: 400, rest_millis: 101 });
-    /// assert_eq!(PollSchedule::new(91, 12), PollSchedule { held_millis: 250, rest_millis: 2_910 });
+    /// assert_eq!(PollSchedule::new(9, 12), PollSchedule { long_poll_millis: 400, delay_millis: 101 });
+    /// assert_eq!(PollSchedule::new(91, 12), PollSchedule { long_poll_millis: 250, delay_millis: 2_910 });
     /// ```
     pub fn new(leaders: usize, max_calls: u32) -> Self {
         let used_calls = (f64::from(max_calls) * USABLE_FRACTION).max(1.0);
         let is_crowded = leaders as f64 > 2.0 * used_calls;
-        let held_millis = if is_crowded { MIN_LONG_POLL_MILLIS } else { MAX_LONG_POLL_MILLIS };
-        let round_millis = leaders as f64 * held_millis as f64 / used_calls;
-        let rest_millis = (round_millis.ceil() as u64).saturating_sub(held_millis).max(MIN_DELAY_MILLIS);
-        Self { held_millis, rest_millis }
+        let long_poll_millis = if is_crowded { MIN_LONG_POLL_MILLIS } else { MAX_LONG_POLL_MILLIS };
+        let round_millis = leaders as f64 * long_poll_millis as f64 / used_calls;
+        let delay_millis =
+            (round_millis.ceil() as u64).saturating_sub(long_poll_millis).max(MIN_DELAY_MILLIS);
+        Self { long_poll_millis, delay_millis }
     }
 
     /// Returns how long a report of the store is valid, in milliseconds.
     pub const fn report_lifetime_millis(self) -> u64 {
-        (self.held_millis + self.rest_millis) * LIFETIME_ROUNDS + LIFETIME_MARGIN_MILLIS
+        (self.long_poll_millis + self.delay_millis) * LIFETIME_ROUNDS + LIFETIME_MARGIN_MILLIS
     }
 }
--- a/crates/decide/src/kept/store_row.rs
+++ b/crates/decide/src/kept/store_row.rs
@@ -119,7 +119,7 @@
     pub fn apply(&mut self, update: &CacheUpdate, reachable_until: Moment) {
         self.reachable_until = reachable_until;
         for change in &update.changes {
-            let key = salted_key(change.part, short_digest(&change.salt));
+            let key = salted_key(change.segment, short_digest(&change.cache_salt));
             self.set_segment(key, change.tokens);
             if self.unreported.len() < MAX_UNREPORTED {
                 self.unreported.insert(key, change.tokens);
@@ -181,18 +181,18 @@
     }
 
     /// Marks the store as unreachable: nothing is fetched until it reports again.
-    pub fn lose(&mut self) {
+    pub fn mark_unreachable(&mut self) {
         self.reachable_until = Moment(0);
     }
 
     /// Whether the store's last report is still valid.
-    pub fn is_heard(&self, now: Moment) -> bool {
+    pub fn is_reachable(&self, now: Moment) -> bool {
         now < self.reachable_until
     }
 
     /// Whether it contains all `tokens` of a segment.
-    pub fn holds(&self, key: u64, tokens: u32, now: Moment) -> bool {
-        self.is_heard(now) && self.segments.get(&key).is_some_and(|held| *held >= tokens)
+    pub fn contains(&self, key: u64, tokens: u32, now: Moment) -> bool {
+        self.is_reachable(now) && self.segments.get(&key).is_some_and(|held| *held >= tokens)
     }
 
     /// Whether the segment is stored, or is being sent for a request of this VM.
@@ -208,7 +208,7 @@
     }
 
     /// Records that a segment is being sent there for a request of this VM.
-    pub fn ask(&mut self, key: u64, tokens: u32, now: Moment) {
+    pub fn record_request(&mut self, key: u64, tokens: u32, now: Moment) {
         self.record_pending(
             key,
             PendingSave { tokens, deadline: now.after_millis(SAVE_TIMEOUT_MILLIS), is_own: true },
--- a/crates/decide/src/kept/transfer_plan.rs
+++ b/crates/decide/src/kept/transfer_plan.rs
@@ -62,7 +62,7 @@
     pub(crate) fn find(table: &FleetTable, segments: &[PromptSegment], salt: u64, now: Moment) -> Self {
         let holders = segments.iter().map(|segment| {
             let key = salted_key(segment.key, salt);
-            let stores = table.stores().filter(|(_, row)| row.holds(key, segment.tokens, now));
+            let stores = table.stores().filter(|(_, row)| row.contains(key, segment.tokens, now));
             stores.map(|(store, _)| store).collect()
         });
         Self(holders.collect())
@@ -209,7 +209,7 @@
     };
     let candidates: Vec<_> = table
         .stores()
-        .filter(|(_, row)| row.is_heard(now) && row.has_capacity(tokens))
+        .filter(|(_, row)| row.is_reachable(now) && row.has_capacity(tokens))
         .filter(|(_, row)| table.is_home(target.homes, &row.spec.data_centre))
         .collect();
     let fastest = candidates.iter().map(|(_, row)| save_micros(row)).min_by(f64::total_cmp)?;
--- a/crates/decide/src/quarantine/crash_history.rs
+++ b/crates/decide/src/quarantine/crash_history.rs
@@ -76,7 +76,7 @@
 
 #[derive(Debug)]
 struct CrashRow {
-    ending: EndpointCrash,
+    crash: EndpointCrash,
     runs: Vec<AffectedRun>,
     /// Whether a quarantined request caused the crash; it then doesn't count towards the crash rate of
     /// endpoints.
@@ -87,7 +87,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CrashVerdict {
     /// Number of endpoints that crashed under it.
-    pub endings: usize,
+    pub crashes: usize,
     /// Number of these crashes that are not attributed to another request.
     pub counted: usize,
     /// Natural logarithm of one over the probability that it is unrelated to them.
@@ -130,31 +130,31 @@
     }
 
     /// Records the crash of an endpoint, whatever it was running.
-    pub fn record_crash(&mut self, ending: EndpointCrash) {
-        if self.crashes.len() >= MAX_CRASHES && !self.crashes.contains_key(&ending.start) {
+    pub fn record_crash(&mut self, crash: EndpointCrash) {
+        if self.crashes.len() >= MAX_CRASHES && !self.crashes.contains_key(&crash.start) {
             self.evict_crashes();
         }
-        let row = CrashRow { ending, runs: Vec::new(), is_explained: false };
-        self.crashes.entry(ending.start).or_insert(row);
+        let row = CrashRow { crash, runs: Vec::new(), is_explained: false };
+        self.crashes.entry(crash.start).or_insert(row);
     }
 
     /// Adds a report; returns false if it is recorded already, or older than an answer to the request.
     pub fn add_report(&mut self, report: &CrashReport) -> bool {
-        let CrashReport { request, ending, age_micros } = *report;
-        if self.answered.get(&request).is_some_and(|at| ending.at <= *at) {
+        let CrashReport { request, crash, age_micros } = *report;
+        if self.answered.get(&request).is_some_and(|at| crash.at <= *at) {
             return false;
         }
         let starts = self.requests.get(&request);
-        if starts.is_some_and(|starts| starts.contains(&ending.start)) {
+        if starts.is_some_and(|starts| starts.contains(&crash.start)) {
             return false;
         }
         if self.runs >= MAX_RUNS {
             self.evict_runs();
         }
-        self.record_crash(ending);
-        let Some(row) = self.crashes.get_mut(&ending.start) else { return false };
+        self.record_crash(crash);
+        let Some(row) = self.crashes.get_mut(&crash.start) else { return false };
         row.runs.push(AffectedRun { request, age_micros });
-        self.requests.entry(request).or_default().push(ending.start);
+        self.requests.entry(request).or_default().push(crash.start);
         self.runs += 1;
         true
     }
@@ -195,13 +195,13 @@
     /// Evaluates the evidence against a request.
     pub fn verdict(&self, request: RequestKey) -> CrashVerdict {
         let starts = self.requests.get(&request).map_or(&[][..], Vec::as_slice);
-        let mut verdict = CrashVerdict { endings: starts.len(), ..CrashVerdict::default() };
+        let mut verdict = CrashVerdict { crashes: starts.len(), ..CrashVerdict::default() };
         for row in starts.iter().filter_map(|start| self.crashes.get(start)) {
             let Some(run) = row.runs.iter().find(|run| run.request == request) else { continue };
             if self.is_attributed(run, row) {
                 verdict.counted += 1;
-                verdict.among = verdict.among.max(row.ending.among);
-                verdict.log_odds -= self.probability(run, &row.ending).ln();
+                verdict.among = verdict.among.max(row.crash.among);
+                verdict.log_odds -= self.probability(run, &row.crash).ln();
             }
         }
         verdict
@@ -213,12 +213,12 @@
             let reports = row.runs.iter();
             reports.map(|run| CrashReport {
                 request: run.request,
-                ending: row.ending,
+                crash: row.crash,
                 age_micros: run.age_micros,
             })
         });
         let mut reports: Vec<_> = rows.collect();
-        reports.sort_by_key(|report| report.ending.at);
+        reports.sort_by_key(|report| report.crash.at);
         reports
     }
 
@@ -228,7 +228,7 @@
         let expired: Vec<_> = self
             .crashes
             .iter()
-            .filter(|(_, row)| is_expired(row.ending.at))
+            .filter(|(_, row)| is_expired(row.crash.at))
             .map(|(start, _)| *start)
             .collect();
         for start in expired {
@@ -249,33 +249,33 @@
     }
 
     /// Returns the probability that an endpoint crashes within the age of a run for an unrelated reason.
-    fn probability(&self, run: &AffectedRun, ending: &EndpointCrash) -> f64 {
+    fn probability(&self, run: &AffectedRun, crash: &EndpointCrash) -> f64 {
         let age = run.age_micros.max(MIN_AGE_MICROS) as f64 / MICROS_PER_SECOND as f64;
-        (self.crash_rate(run.request, ending) * age).clamp(MIN_PROBABILITY, 1.0)
+        (self.crash_rate(run.request, crash) * age).clamp(MIN_PROBABILITY, 1.0)
     }
 
-    /// Returns an endpoint's crashes a second around `ending` for reasons unrelated to `request`.
-    fn crash_rate(&self, request: RequestKey, ending: &EndpointCrash) -> f64 {
+    /// Returns an endpoint's crashes a second around `crash` for reasons unrelated to `request`.
+    fn crash_rate(&self, request: RequestKey, crash: &EndpointCrash) -> f64 {
         let (mut nearby, mut at_address) = ([0_u32; RATE_WINDOWS_MILLIS.len()], 0_u32);
         let mut has_crashed_before = false;
         let other_crashes =
-            self.crashes.values().filter(|row| row.ending.start != ending.start && !row.is_explained);
+            self.crashes.values().filter(|row| row.crash.start != crash.start && !row.is_explained);
         for row in other_crashes {
             let distance_micros =
-                row.ending.at.micros_since(ending.at).max(ending.at.micros_since(row.ending.at));
+                row.crash.at.micros_since(crash.at).max(crash.at.micros_since(row.crash.at));
             let is_within = |millis: u64| distance_micros <= millis * MICROS_PER_MILLI;
-            let is_at_address = row.ending.place == ending.place && is_within(ADDRESS_WINDOW_MILLIS);
-            has_crashed_before |= is_at_address && row.ending.at <= ending.at;
+            let is_at_address = row.crash.place == crash.place && is_within(ADDRESS_WINDOW_MILLIS);
+            has_crashed_before |= is_at_address && row.crash.at <= crash.at;
             if row.runs.iter().any(|run| run.request == request) {
                 continue;
             }
             at_address += u32::from(is_at_address);
             for (count, window) in nearby.iter_mut().zip(RATE_WINDOWS_MILLIS) {
-                *count += u32::from(row.ending.service == ending.service && is_within(window));
+                *count += u32::from(row.crash.service == crash.service && is_within(window));
             }
         }
         let seconds = |millis: u64| (2 * millis) as f64 / 1_000.0;
-        let among = f64::from(ending.among.max(1));
+        let among = f64::from(crash.among.max(1));
         let window_rates = nearby
             .iter()
             .zip(RATE_WINDOWS_MILLIS)
@@ -296,7 +296,7 @@
             .iter()
             .map(|(request, starts)| {
                 let oldest =
-                    starts.iter().filter_map(|start| self.crashes.get(start)).map(|row| row.ending.at);
+                    starts.iter().filter_map(|start| self.crashes.get(start)).map(|row| row.crash.at);
                 (starts.len(), oldest.min(), *request)
             })
             .collect();
@@ -309,7 +309,7 @@
     /// Evicts the crashes with the least evidence: those with the fewest runs, and of these the oldest.
     fn evict_crashes(&mut self) {
         let mut candidates: Vec<_> =
-            self.crashes.iter().map(|(start, row)| (row.runs.len(), row.ending.at, *start)).collect();
+            self.crashes.iter().map(|(start, row)| (row.runs.len(), row.crash.at, *start)).collect();
         candidates.sort_unstable();
         for (_, _, start) in candidates.into_iter().take(MAX_CRASHES / EVICTION_DIVISOR) {
             self.remove(start);
--- a/crates/decide/src/quarantine/endpoint_crash.rs
+++ b/crates/decide/src/quarantine/endpoint_crash.rs
@@ -24,7 +24,7 @@
     /// The request.
     pub request: RequestKey,
     /// The crash.
-    pub ending: EndpointCrash,
+    pub crash: EndpointCrash,
     /// Time for which the endpoint had been running the request, in microseconds: since it began to answer,
     /// or else since the request was sent.
     pub age_micros: u64,
--- a/crates/decide/src/quarantine/quarantine_table.rs
+++ b/crates/decide/src/quarantine/quarantine_table.rs
@@ -38,7 +38,7 @@
     /// Number of this quarantine of the request, counted from one.
     pub round: u32,
     /// Number of endpoints that had crashed under it.
-    pub endings: u32,
+    pub crashes: u32,
     /// The present phase.
     pub phase: QuarantinePhase,
     /// When the present phase ends.
@@ -67,7 +67,7 @@
     }
 
     /// Returns the quarantine of a request, if the request is to be refused now.
-    pub fn held(&self, request: RequestKey, now: Moment) -> Option<QuarantinedRequest> {
+    pub fn quarantined(&self, request: RequestKey, now: Moment) -> Option<QuarantinedRequest> {
         let row = self.rows.get(&request)?;
         (row.phase == QuarantinePhase::Held && now < row.until).then_some(*row)
     }
@@ -84,8 +84,8 @@
 
     /// Begins a quarantine; returns its number, or none if the request is quarantined already or the table is
     /// full.
-    pub fn begin(&mut self, request: RequestKey, endings: u32, now: Moment) -> Option<u32> {
-        if self.held(request, now).is_some() || !self.has_capacity(request) {
+    pub fn begin(&mut self, request: RequestKey, crashes: u32, now: Moment) -> Option<u32> {
+        if self.quarantined(request, now).is_some() || !self.has_capacity(request) {
             return None;
         }
         let round = self.rows.get(&request).map_or(0, |row| row.round) + 1;
@@ -93,7 +93,7 @@
         let phase = QuarantinePhase::Held;
         self.rows.insert(
             request,
-            QuarantinedRequest { round, endings, phase, until, write_at: now, turned_away: 0 },
+            QuarantinedRequest { round, crashes, phase, until, write_at: now, turned_away: 0 },
         );
         Some(round)
     }
@@ -102,7 +102,7 @@
     pub fn adopt(
         &mut self,
         request: RequestKey,
-        (round, endings): (u32, u32),
+        (round, crashes): (u32, u32),
         until: Moment,
         is_stored: bool,
         now: Moment,
@@ -125,7 +125,7 @@
         let write_at = if is_stored { Moment::NEVER } else { now.after_millis(WRITE_DELAY_MILLIS) };
         let phase = QuarantinePhase::Held;
         self.rows
-            .insert(request, QuarantinedRequest { round, endings, phase, until, write_at, turned_away: 0 });
+            .insert(request, QuarantinedRequest { round, crashes, phase, until, write_at, turned_away: 0 });
         true
     }
 
@@ -155,7 +155,7 @@
                 if self.has_capacity(request) {
                     let row = QuarantinedRequest {
                         round,
-                        endings: 0,
+                        crashes: 0,
                         phase,
                         until,
                         write_at: Moment::NEVER,
--- a/crates/decide/src/quarantine/request_quarantine.rs
+++ b/crates/decide/src/quarantine/request_quarantine.rs
@@ -87,15 +87,15 @@
     /// let mut quarantine = RequestQuarantine::default();
     /// let message = QuarantineMessage::Held { request, round: 1, endings: 3, rest_micros: 1_000 };
     /// assert!(quarantine.apply_quarantine_message(&message, Moment(0)).0);
-    /// assert!(quarantine.held(request, Moment(999)).is_some());
-    /// assert!(quarantine.held(request, Moment(1_000)).is_none());
+    /// assert!(quarantine.quarantined(request, Moment(999)).is_some());
+    /// assert!(quarantine.quarantined(request, Moment(1_000)).is_none());
     /// ```
-    pub fn held(&self, request: RequestKey, now: Moment) -> Option<QuarantinedRequest> {
-        self.table.held(request, now)
+    pub fn quarantined(&self, request: RequestKey, now: Moment) -> Option<QuarantinedRequest> {
+        self.table.quarantined(request, now)
     }
 
     /// Whether there is evidence against a request, or a row of it.
-    pub fn knows(&self, request: RequestKey) -> bool {
+    pub fn has_records(&self, request: RequestKey) -> bool {
         self.table.contains(request) || self.history.crashes_of(request) > 0
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Whether one more crash may put a request in quarantine.
-    pub fn is_close(&self, request: RequestKey) -> bool {
+    pub fn is_near_threshold(&self, request: RequestKey) -> bool {
         self.table.is_on_probation(request) || self.history.crashes_of(request) + 1 >= MIN_CRASHES_PER_VERDICT
     }
 
@@ -120,8 +120,8 @@
     }
 
     /// Records the crash of an endpoint, whatever it was running.
-    pub fn record_crash(&mut self, ending: EndpointCrash) {
-        self.history.record_crash(ending);
+    pub fn record_crash(&mut self, crash: EndpointCrash) {
+        self.history.record_crash(crash);
     }
 
     /// Adds a report; returns whether it is new.
@@ -130,7 +130,7 @@
         let request = report.request;
         let may_be_fatal = self.history.crashes_of(request) >= MIN_CRASHES_PER_VERDICT
             || self.table.is_on_probation(request);
-        if is_new && self.table.held(request, now).is_some() {
+        if is_new && self.table.quarantined(request, now).is_some() {
             self.history.mark_explained(request);
         } else if is_new && may_be_fatal {
             self.pending_evaluations.entry(request).or_insert(now.after_millis(EVIDENCE_DELAY_MILLIS));
@@ -180,8 +180,8 @@
         let before = |micros: u64| Moment(now.0.saturating_sub(micros));
         match *message {
             QuarantineMessage::Ended { request, start, place, service, among, age_micros, ago_micros } => {
-                let ending = EndpointCrash { start, place, service, among, at: before(ago_micros) };
-                let report = CrashReport { request, ending, age_micros };
+                let crash = EndpointCrash { start, place, service, among, at: before(ago_micros) };
+                let report = CrashReport { request, crash, age_micros };
                 (self.record_report(&report, now), Vec::new())
             }
             QuarantineMessage::Answered { request, ago_micros } => {
@@ -213,7 +213,7 @@
     }
 
     /// Releases a request and discards the evidence; returns the number of its quarantine.
-    pub fn lift(&mut self, request: RequestKey, now: Moment) -> Option<u32> {
+    pub fn release(&mut self, request: RequestKey, now: Moment) -> Option<u32> {
         self.history.discard(request);
         self.table.release(request, now)
     }
@@ -281,7 +281,7 @@
         if !is_fatal {
             return Vec::new();
         }
-        let Some(round) = self.table.begin(request, verdict.endings as u32, now) else { return Vec::new() };
+        let Some(round) = self.table.begin(request, verdict.crashes as u32, now) else { return Vec::new() };
         self.history.mark_explained(request);
         let mut changes = vec![QuarantineChange::Begun { request, round, verdict }];
         changes.extend(self.release_exonerated(now));
@@ -293,11 +293,11 @@
         let held = self.table.rows().filter(|(_, row)| row.phase == QuarantinePhase::Held);
         let exonerated = held.filter(|(request, _)| {
             let verdict = self.history.verdict(*request);
-            verdict.endings > 0 && verdict.counted == 0
+            verdict.crashes > 0 && verdict.counted == 0
         });
         let exonerated: Vec<_> = exonerated.map(|(request, _)| request).collect();
         let released = exonerated.into_iter().filter_map(|request| {
-            let round = self.lift(request, now)?;
+            let round = self.release(request, now)?;
             Some(QuarantineChange::Lifted { request, round })
         });
         released.collect()
@@ -306,7 +306,7 @@
 
 /// Builds the message about a row: its quarantine, or its release.
 fn message_of(request: RequestKey, row: &QuarantinedRequest, now: Moment) -> QuarantineMessage {
-    let QuarantinedRequest { round, endings, until, .. } = *row;
+    let QuarantinedRequest { round, crashes: endings, until, .. } = *row;
     match row.phase {
         QuarantinePhase::Lifted => QuarantineMessage::Lifted { request, round },
         QuarantinePhase::Held | QuarantinePhase::Trial => {
--- a/crates/decide/src/rollout/rollout_table.rs
+++ b/crates/decide/src/rollout/rollout_table.rs
@@ -20,11 +20,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct PendingSums {
     /// Sums for the VMs of this data centre.
-    pub near: RolloutSums,
+    pub local: RolloutSums,
     /// Sums for other data centres.
-    pub far: RolloutSums,
+    pub remote: RolloutSums,
     /// Sums of other data centres, to be relayed to the VMs of this one.
-    pub passed: RolloutSums,
+    pub relayed: RolloutSums,
 }
 
 /// Status of a service's rollout in the store, for the operator.
@@ -98,7 +98,7 @@
         let run = RolloutRun { evidence, slack_sent, ..RolloutRun::new(order, position, now) };
         self.runs.insert(run.order.service.clone(), run);
         let positions: Vec<_> = self.runs.values().map(|run| run.position).collect();
-        for sums in [&mut self.sums.near, &mut self.sums.far, &mut self.sums.passed] {
+        for sums in [&mut self.sums.local, &mut self.sums.remote, &mut self.sums.relayed] {
             sums.retain_orders(|order| positions.contains(&order));
         }
         true
@@ -179,8 +179,8 @@
         };
         let counts = run.evidence.observe(route, answer);
         let key = (short_digest(service), run.position, route);
-        self.sums.near.add(key, counts);
-        self.sums.far.add(key, counts);
+        self.sums.local.add(key, counts);
+        self.sums.remote.add(key, counts);
         run.mark_suspected()
     }
 
--- a/crates/decide/src/weights/published_weights.rs
+++ b/crates/decide/src/weights/published_weights.rs
@@ -30,12 +30,17 @@
     /// use spanfold_decide::{PublishedVersion, PublishedWeights};
     /// use spanfold_entity::Moment;
     /// let mut weights = PublishedWeights::default();
-    /// assert!(weights.note(PublishedVersion { version: 3, since: Moment(9) }, 10, Moment(9)));
-    /// assert!(!weights.note(PublishedVersion { version: 3, since: Moment(7) }, 10, Moment(9)));
-    /// assert!(weights.note(PublishedVersion { version: 2, since: Moment(5) }, 10, Moment(9)));
+    /// assert!(weights.record_publication(PublishedVersion { version: 3, since: Moment(9) }, 10, Moment(9)));
+    /// assert!(!weights.record_publication(PublishedVersion { version: 3, since: Moment(7) }, 10, Moment(9)));
+    /// assert!(weights.record_publication(PublishedVersion { version: 2, since: Moment(5) }, 10, Moment(9)));
     /// assert_eq!(weights.newest(), Some(3));
     /// ```
-    pub fn note(&mut self, publication: PublishedVersion, version_millis: u64, now: Moment) -> bool {
+    pub fn record_publication(
+        &mut self,
+        publication: PublishedVersion,
+        version_millis: u64,
+        now: Moment,
+    ) -> bool {
         let is_new = match self.0.binary_search_by_key(&publication.version, |row| row.version) {
             Ok(index) => {
                 self.0[index].since = self.0[index].since.min(publication.since);
@@ -69,12 +74,12 @@
     /// use spanfold_decide::{PublishedVersion, PublishedWeights};
     /// use spanfold_entity::Moment;
     /// let mut weights = PublishedWeights::default();
-    /// weights.note(PublishedVersion { version: 2, since: Moment(5) }, 10, Moment(5));
-    /// let required = weights.wanted(10).unwrap();
+    /// weights.record_publication(PublishedVersion { version: 2, since: Moment(5) }, 10, Moment(5));
+    /// let required = weights.required(10).unwrap();
     /// assert_eq!(required.start_deadline(1), Moment(5).after_millis(10));
     /// assert_eq!(required.start_deadline(2), Moment::NEVER);
     /// ```
-    pub fn wanted(&self, version_millis: u64) -> Option<RequiredWeights> {
+    pub fn required(&self, version_millis: u64) -> Option<RequiredWeights> {
         let bounds = self.0.iter().map(|row| (row.version, row.since.after_millis(version_millis)));
         Some(RequiredWeights { newest: self.newest()?, bounds: bounds.collect() })
     }
--- a/crates/decide/src/weights/weight_scheduler.rs
+++ b/crates/decide/src/weights/weight_scheduler.rs
@@ -74,9 +74,9 @@
     /// use spanfold_decide::{LeaseHolder, LeaseOwnership};
     /// let own = LeaseHolder { name: "vm-1".into(), incarnation: 7, lease: 3 };
     /// let before = LeaseHolder { lease: 2, ..own.clone() };
-    /// assert_eq!(before.standing(&own), LeaseOwnership::Expired);
+    /// assert_eq!(before.ownership(&own), LeaseOwnership::Expired);
     /// ```
-    pub fn standing(&self, own: &Self) -> LeaseOwnership {
+    pub fn ownership(&self, own: &Self) -> LeaseOwnership {
         if self.name != own.name {
             LeaseOwnership::Other
         } else if self.incarnation != own.incarnation {
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WeightStep {
     /// Cordon the engine: an order follows.
-    Close(EndpointKey),
+    Cordon(EndpointKey),
     /// Order the engine to load this version of the model.
     Order(EndpointKey, String, u64),
 }
@@ -155,7 +155,7 @@
     ///     key: EndpointKey(1), model: "m".into(), version: 1, target: 2, running: 0,
     /// };
     /// let steps = WeightScheduler::new(10_000).steps(&[engine], Moment(0));
-    /// assert_eq!(steps, [WeightStep::Close(EndpointKey(1))]);
+    /// assert_eq!(steps, [WeightStep::Cordon(EndpointKey(1))]);
     /// ```
     pub fn steps(&mut self, engines: &[EngineState], now: Moment) -> Vec<WeightStep> {
         self.discard_finished(engines, now);
@@ -219,7 +219,7 @@
     }
 
     /// Returns the cordoned engines.
-    pub fn closed(&self) -> impl Iterator<Item = EndpointKey> {
+    pub fn cordoned(&self) -> impl Iterator<Item = EndpointKey> {
         self.loads.keys().copied()
     }
 
@@ -236,7 +236,7 @@
         let free_slots = max_cordoned.saturating_sub(self.loads.len());
         for engine in waiting.into_iter().take(free_slots) {
             self.loads.insert(engine.key, (engine.target, LoadStage::Cordoned(now)));
-            steps.push(WeightStep::Close(engine.key));
+            steps.push(WeightStep::Cordon(engine.key));
         }
     }
 
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -26,11 +26,11 @@
 
 fn view(received_millis: u64) -> AdmissionView {
     AdmissionView {
-        received: Moment(0).after_millis(received_millis),
-        limit: Moment(0).after_millis(received_millis + 12_000),
+        received_at: Moment(0).after_millis(received_millis),
+        answer_deadline: Moment(0).after_millis(received_millis + 12_000),
         objective_millis: OBJECTIVE_MILLIS,
-        silence_millis: 4_800,
-        rank: 1,
+        silence_timeout_millis: 4_800,
+        priority: 1,
     }
 }
 
@@ -69,16 +69,16 @@
     let request = PlacementRequest {
         service: "llm",
         data_centre: "dc-a",
-        silent: &[],
-        parts: &segments,
+        unreachable_data_centres: &[],
+        segments: &segments,
         prompt_tokens: PROMPT_TOKENS as u32,
         output_tokens: 55,
         objective_millis: OBJECTIVE_MILLIS,
         bytes: 0,
         model: None,
-        wanted: None,
+        required_weights: None,
         memory_fraction,
-        wall: "shared",
+        isolation_scope: "shared",
         exclude: &[],
         versions: &VersionSplit::Any,
         homes: HomeRegions::default(),
@@ -191,8 +191,9 @@
         }
         for (number, engine) in engines.iter_mut().enumerate() {
             engine.step(now_millis, &mut totals, |load, is_finished| {
-                let prefill_load = LoadCount { unread_tokens: load.unread_tokens, ..LoadCount::default() };
-                let other_load = LoadCount { unread_tokens: 0, ..load };
+                let prefill_load =
+                    LoadCount { pending_prefill_tokens: load.pending_prefill_tokens, ..LoadCount::default() };
+                let other_load = LoadCount { pending_prefill_tokens: 0, ..load };
                 table.release(key(number), if is_finished { other_load } else { prefill_load });
             });
         }
@@ -270,12 +271,12 @@
 
 #[test]
 fn urgent_prompts_and_those_in_time_may_fill_more_memory() {
-    let urgent = AdmissionView { rank: 0, ..view(0) };
+    let urgent = AdmissionView { priority: 0, ..view(0) };
     assert!(urgent.memory_fraction(Moment(0)) > view(0).memory_fraction(Moment(0)));
     let late = Moment(0).after_millis(OBJECTIVE_MILLIS);
     assert!(view(0).memory_fraction(Moment(0)) > view(0).memory_fraction(late));
     // The least urgent prompts may still fill an engine.
-    assert!(AdmissionView { rank: 9, ..view(0) }.memory_fraction(Moment(0)) >= 1.0);
+    assert!(AdmissionView { priority: 9, ..view(0) }.memory_fraction(Moment(0)) >= 1.0);
 }
 
 #[test]
--- a/crates/decide/tests/crash_history.rs
+++ b/crates/decide/tests/crash_history.rs
@@ -18,13 +18,13 @@
 }
 
 /// Returns the crash of the `start`th endpoint that ever ran, one of 18, at an address of its own.
-fn ending(start: u64, at: u64) -> EndpointCrash {
+fn crash(start: u64, at: u64) -> EndpointCrash {
     let start = EndpointKey(start);
     EndpointCrash { start, place: start.0 + 1_000, service: 7, among: 18, at: Moment(at) }
 }
 
-fn report(number: u64, ending: EndpointCrash, age_millis: u64) -> CrashReport {
-    CrashReport { request: request(number), ending, age_micros: age_millis * MICROS_PER_MILLI }
+fn report(number: u64, crash: EndpointCrash, age_millis: u64) -> CrashReport {
+    CrashReport { request: request(number), crash, age_micros: age_millis * MICROS_PER_MILLI }
 }
 
 fn is_fatal(history: &CrashHistory, number: u64) -> bool {
@@ -36,7 +36,7 @@
     let mut history = CrashHistory::default();
     for start in 0..3 {
         assert!(!is_fatal(&history, 1));
-        history.add_report(&report(1, ending(start, 2 * start * MICROS_PER_SECOND), 300));
+        history.add_report(&report(1, crash(start, 2 * start * MICROS_PER_SECOND), 300));
     }
     assert!(is_fatal(&history, 1));
 }
@@ -44,7 +44,7 @@
 #[test]
 fn duplicate_report_counts_once() {
     let mut history = CrashHistory::default();
-    let crash_report = report(1, ending(1, MICROS_PER_SECOND), 50);
+    let crash_report = report(1, crash(1, MICROS_PER_SECOND), 50);
     assert!(history.add_report(&crash_report));
     assert!(!history.add_report(&crash_report));
     assert_eq!(history.crashes_of(request(1)), 1);
@@ -54,9 +54,9 @@
 fn crash_of_a_new_start_of_the_same_endpoint_counts_again() {
     let mut history = CrashHistory::default();
     for born in 0..3 {
-        let mut ending = ending(1, born * 4 * MICROS_PER_SECOND);
-        ending.start = EndpointKey::of_incarnation("i-1", Some(born));
-        history.add_report(&report(1, ending, 60));
+        let mut crash = crash(1, born * 4 * MICROS_PER_SECOND);
+        crash.start = EndpointKey::of_incarnation("i-1", Some(born));
+        history.add_report(&report(1, crash, 60));
     }
     assert_eq!(history.crashes_of(request(1)), 3);
 }
@@ -65,9 +65,9 @@
 fn service_of_one_endpoint_needs_at_most_six_crashes() {
     let mut history = CrashHistory::default();
     for born in 0..6 {
-        let mut ending = EndpointCrash { among: 1, ..ending(1, born * 4 * MICROS_PER_SECOND) };
-        ending.start = EndpointKey::of_incarnation("i-1", Some(born));
-        history.add_report(&report(1, ending, 150));
+        let mut crash = EndpointCrash { among: 1, ..crash(1, born * 4 * MICROS_PER_SECOND) };
+        crash.start = EndpointKey::of_incarnation("i-1", Some(born));
+        history.add_report(&report(1, crash, 150));
     }
     assert!(is_fatal(&history, 1));
 }
@@ -76,11 +76,11 @@
 fn completed_request_is_cleared_also_of_late_reports() {
     let mut history = CrashHistory::default();
     for start in 0..2 {
-        history.add_report(&report(1, ending(start, start * MICROS_PER_SECOND), 50));
+        history.add_report(&report(1, crash(start, start * MICROS_PER_SECOND), 50));
     }
     assert!(history.record_answered(request(1), Moment(3 * MICROS_PER_SECOND)));
-    assert!(!history.add_report(&report(1, ending(2, 2 * MICROS_PER_SECOND), 50)));
-    history.add_report(&report(1, ending(3, 4 * MICROS_PER_SECOND), 50));
+    assert!(!history.add_report(&report(1, crash(2, 2 * MICROS_PER_SECOND), 50)));
+    history.add_report(&report(1, crash(3, 4 * MICROS_PER_SECOND), 50));
     assert_eq!(history.crashes_of(request(1)), 1);
 }
 
@@ -90,10 +90,10 @@
     let mut history = CrashHistory::default();
     for start in 0..2 {
         for number in 1..8 {
-            history.add_report(&report(number, ending(start, start * MICROS_PER_SECOND), 60));
+            history.add_report(&report(number, crash(start, start * MICROS_PER_SECOND), 60));
         }
     }
-    history.add_report(&report(1, ending(2, 2 * MICROS_PER_SECOND), 60));
+    history.add_report(&report(1, crash(2, 2 * MICROS_PER_SECOND), 60));
     assert!(is_fatal(&history, 1));
     assert!((2..8).all(|number| !is_fatal(&history, number)));
 }
@@ -102,11 +102,11 @@
 fn requests_with_the_same_crashes_need_a_fourth_one() {
     let mut history = CrashHistory::default();
     for start in 0..3 {
-        history.add_report(&report(1, ending(start, start * MICROS_PER_SECOND), 60));
-        history.add_report(&report(2, ending(start, start * MICROS_PER_SECOND), 70));
+        history.add_report(&report(1, crash(start, start * MICROS_PER_SECOND), 60));
+        history.add_report(&report(2, crash(start, start * MICROS_PER_SECOND), 70));
     }
     assert!(!is_fatal(&history, 1) && !is_fatal(&history, 2));
-    history.add_report(&report(2, ending(3, 4 * MICROS_PER_SECOND), 70));
+    history.add_report(&report(2, crash(3, 4 * MICROS_PER_SECOND), 70));
     assert!(!is_fatal(&history, 1) && is_fatal(&history, 2));
 }
 
@@ -114,10 +114,10 @@
 fn three_crashes_are_too_few_where_endpoints_crash_by_themselves() {
     let mut history = CrashHistory::default();
     for start in 100..130 {
-        history.record_crash(ending(start, (start - 100) * 300 * MICROS_PER_MILLI));
+        history.record_crash(crash(start, (start - 100) * 300 * MICROS_PER_MILLI));
     }
     for start in 0..3 {
-        history.add_report(&report(1, ending(start, start * 3 * MICROS_PER_SECOND), 300));
+        history.add_report(&report(1, crash(start, start * 3 * MICROS_PER_SECOND), 300));
     }
     assert!(!is_fatal(&history, 1));
 }
@@ -127,7 +127,7 @@
     // Its address is the same each time, and other requests run there too.
     let mut history = CrashHistory::default();
     let at_same_address =
-        |start: u64| EndpointCrash { place: 5, among: 5_500, ..ending(start, start * MICROS_PER_SECOND) };
+        |start: u64| EndpointCrash { place: 5, among: 5_500, ..crash(start, start * MICROS_PER_SECOND) };
     for start in 0..30 {
         history.add_report(&report(start % 5, at_same_address(start), 200));
     }
@@ -138,12 +138,12 @@
 fn burst_of_single_crashes_evicts_no_stronger_evidence() {
     let mut history = CrashHistory::default();
     for start in 0..2 {
-        history.add_report(&report(0, ending(start, start * MICROS_PER_SECOND), 60));
+        history.add_report(&report(0, crash(start, start * MICROS_PER_SECOND), 60));
     }
     for number in 1..20_000 {
-        history.add_report(&report(number, ending(100 + number / 20, 100 * MICROS_PER_SECOND + number), 60));
+        history.add_report(&report(number, crash(100 + number / 20, 100 * MICROS_PER_SECOND + number), 60));
     }
-    history.add_report(&report(0, ending(90, 400 * MICROS_PER_SECOND), 60));
+    history.add_report(&report(0, crash(90, 400 * MICROS_PER_SECOND), 60));
     assert!(is_fatal(&history, 0));
     assert!(history.reports().len() <= 2_048);
 }
@@ -151,7 +151,7 @@
 #[test]
 fn evidence_expires() {
     let mut history = CrashHistory::default();
-    history.add_report(&report(1, ending(0, 0), 60));
+    history.add_report(&report(1, crash(0, 0), 60));
     history.sweep(Moment(899 * MICROS_PER_SECOND));
     assert_eq!(history.crashes_of(request(1)), 1);
     history.sweep(Moment(900 * MICROS_PER_SECOND));
@@ -218,23 +218,23 @@
                 }));
             }
         }
-        let mut ending: Vec<usize> = Vec::new();
+        let mut crashing: Vec<usize> = Vec::new();
         for fault in faults {
             match *fault {
                 FaultKind::SingleCrashes(interval) if now.is_multiple_of(interval * MICROS_PER_MILLI) => {
-                    ending.push(random.random_range(0..endpoints));
+                    crashing.push(random.random_range(0..endpoints));
                 }
                 FaultKind::GroupCrashes(fraction) if step % 100 == 50 => {
-                    ending.extend((0..endpoints).filter(|_| random.random::<f64>() < fraction));
+                    crashing.extend((0..endpoints).filter(|_| random.random::<f64>() < fraction));
                 }
-                FaultKind::SameAddress if step % 37 == 0 => ending.push(0),
+                FaultKind::SameAddress if step % 37 == 0 => crashing.push(0),
                 _ => {}
             }
         }
         for (place, running) in runs.iter_mut().enumerate() {
             let is_killed = running.iter().any(|run| run.number < 1_000 && run.ends_at <= now);
-            if is_killed && !ending.contains(&place) {
-                ending.push(place);
+            if is_killed && !crashing.contains(&place) {
+                crashing.push(place);
             }
             for run in running.iter().filter(|run| run.number >= 1_000 && run.ends_at <= now) {
                 history.record_answered(request(run.number), Moment(now));
@@ -242,14 +242,14 @@
             running.retain(|run| run.number < 1_000 || run.ends_at > now);
         }
         let mut ended = Vec::new();
-        for place in ending {
+        for place in crashing {
             let start = EndpointKey(starts[place]);
             let (at, among) = (Moment(now), endpoints as u32);
             let end = EndpointCrash { start, place: place as u64, service: 1, among, at };
             history.record_crash(end);
             for run in std::mem::take(&mut runs[place]) {
                 let age_micros = now - run.begun_at;
-                history.add_report(&CrashReport { request: request(run.number), ending: end, age_micros });
+                history.add_report(&CrashReport { request: request(run.number), crash: end, age_micros });
                 ended.push(run);
             }
             starts[place] = next_start;
--- a/crates/decide/tests/endpoint_answers.rs
+++ b/crates/decide/tests/endpoint_answers.rs
@@ -41,17 +41,17 @@
     PlacementRequest {
         service: "desk",
         data_centre: "dc-a",
-        silent: &[],
-        parts: &[],
+        unreachable_data_centres: &[],
+        segments: &[],
         prompt_tokens: 0,
         output_tokens: 0,
         objective_millis: 300,
         bytes: 100,
         model: None,
-        wanted: None,
+        required_weights: None,
         memory_fraction: 1.0,
         homes: HomeRegions::default(),
-        wall: "shared",
+        isolation_scope: "shared",
         exclude,
         versions: &VersionSplit::Any,
         shares: shares(),
@@ -155,7 +155,7 @@
                 table.apply_send_report(VmKey(vm), &report, 0.5, at(now));
             }
             Step::Sweep => {
-                for key in table.sweep(at(now)).gone {
+                for key in table.sweep(at(now)).removed {
                     // An endpoint that returns after its row was removed has no backoff at this VM.
                     actual.backoffs.remove(&key);
                 }
--- a/crates/decide/tests/engine_starts.rs
+++ b/crates/decide/tests/engine_starts.rs
@@ -84,19 +84,19 @@
     });
     let row = table.row(key(2_000)).unwrap();
     assert!(takes_work(&table, key(2_000), 10) && !row.is_suspected());
-    assert!((row.pace() - 1.0).abs() < 1e-9 && row.failure_ratio() < 1e-9);
+    assert!((row.slowdown() - 1.0).abs() < 1e-9 && row.failure_ratio() < 1e-9);
 }
 
 #[test]
 fn load_and_cache_of_the_earlier_incarnation_do_not_carry_over_to_the_next_one() {
-    let load = LoadCount { running: 3, unread_tokens: 40, memory_tokens: 90 };
+    let load = LoadCount { running: 3, pending_prefill_tokens: 40, memory_tokens: 90 };
     let table = restarted(|table| {
         table.take(key(1_000), load, &SEGMENTS, 7);
         table.apply_peer_loads(LoadSource::Vm(VmKey::of("a")), &[(key(1_000), load)], at(5));
     });
     let row = table.row(key(2_000)).unwrap();
     assert_eq!(row.load(at(10)), LoadCount::default());
-    assert_eq!(row.kept.leading(&SEGMENTS, 7), 0);
+    assert_eq!(row.cached_segments.leading(&SEGMENTS, 7), 0);
     // Work that still runs at the earlier incarnation is counted there until it finishes.
     assert_eq!(table.row(key(1_000)).unwrap().own, load);
 }
@@ -123,7 +123,7 @@
     let row = table.row(key(2_000)).unwrap();
     assert!(takes_work(&table, key(2_000), 24) && !row.is_cordoned(at(24)));
     assert_eq!((row.entry.weights["m"], row.load(at(24)).running), (2, 0));
-    assert_eq!(row.kept.leading(&SEGMENTS, 7), 0);
+    assert_eq!(row.cached_segments.leading(&SEGMENTS, 7), 0);
 }
 
 #[test]
--- a/crates/decide/tests/fleet_table.rs
+++ b/crates/decide/tests/fleet_table.rs
@@ -50,7 +50,7 @@
     // An expired grace period is not extended.
     table.extend_grace(at(1), at(5_000));
     assert_eq!(is_departing(&table, "i-1", at(2)), Some(true));
-    assert_eq!(table.sweep(at(3)).gone, [EndpointKey::of("i-1")]);
+    assert_eq!(table.sweep(at(3)).removed, [EndpointKey::of("i-1")]);
     assert!(!table.apply_entry(entry("i-1", 1), Moment(0)));
     assert_eq!(is_departing(&table, "i-1", at(4)), None);
 }
@@ -61,7 +61,7 @@
     table.apply_entry(entry("i-1", 1), Moment(0));
     table.mark_entry_missing("i-1", Moment(0));
     assert_eq!(is_departing(&table, "i-1", at(1)), Some(true));
-    assert_eq!(table.sweep(at(3)).gone, [EndpointKey::of("i-1")]);
+    assert_eq!(table.sweep(at(3)).removed, [EndpointKey::of("i-1")]);
     assert!(table.apply_entry(entry("i-1", 1), at(4)));
     assert_eq!(is_departing(&table, "i-1", at(4)), Some(false));
     // A late write of a stopped endpoint expires before the ejection is over.
@@ -165,7 +165,7 @@
     let mut table = FleetTable::default();
     table.apply_entry(entry("i-1", 1), Moment(0));
     let key = EndpointKey::of("i-1");
-    let load = |running| LoadCount { running, unread_tokens: 10, memory_tokens: 100 };
+    let load = |running| LoadCount { running, pending_prefill_tokens: 10, memory_tokens: 100 };
     for (source, running) in [
         (LoadSource::Vm(VmKey::of("vm-2")), 1),
         (LoadSource::data_centre("dc-b"), 2),
--- a/crates/decide/tests/held_bytes.rs
+++ b/crates/decide/tests/held_bytes.rs
@@ -54,13 +54,13 @@
                 }
                 Step::Settle(index) => {
                     if let Some(row) = model.get_mut(index) {
-                        held.settle(row.0);
+                        held.pin(row.0);
                         row.2 = false;
                     }
                 }
                 Step::End(index) => {
                     if let Some(row) = model.get_mut(index) {
-                        held.end(row.0);
+                        held.release(row.0);
                         row.1 = None;
                     }
                 }
--- a/crates/decide/tests/kept.rs
+++ b/crates/decide/tests/kept.rs
@@ -7,8 +7,8 @@
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
 
-fn change(salt: &str, part: u64, tokens: u32) -> CacheChange {
-    CacheChange { salt: salt.to_owned(), part, segment_text: part.to_string(), tokens }
+fn change(salt: &str, segment: u64, tokens: u32) -> CacheChange {
+    CacheChange { cache_salt: salt.to_owned(), segment, segment_text: segment.to_string(), tokens }
 }
 
 fn update(incarnation: u64, changes: Vec<CacheChange>) -> CacheUpdate {
@@ -48,7 +48,7 @@
 #[test]
 fn broken_segments_are_outdated_with_their_weights() {
     let mut listed = update(1, Vec::new());
-    listed.broken =
+    listed.broken_segments =
         vec![("shared.m.1".to_owned(), "5".to_owned()), ("shared.m.2".to_owned(), "6".to_owned())];
     assert_eq!(outdated_segments(&listed, "m", 2), [("shared.m.1".to_owned(), "5".to_owned())]);
 }
@@ -57,17 +57,17 @@
 fn segment_counts_only_when_reported_complete_by_a_reachable_store() {
     let mut row = store(1_000);
     let now = Moment(0);
-    row.ask(key("s", 7), 100, now);
-    assert!(!row.holds(key("s", 7), 100, now));
+    row.record_request(key("s", 7), 100, now);
+    assert!(!row.contains(key("s", 7), 100, now));
     assert!(row.has_or_awaits(key("s", 7), now));
     row.replace(&update(3, vec![change("s", 7, 60)]), now.after_millis(1_800));
-    assert!(!row.holds(key("s", 7), 100, now), "60 of 100 tokens are not the complete segment");
+    assert!(!row.contains(key("s", 7), 100, now), "60 of 100 tokens are not the complete segment");
     row.apply(&update(3, vec![change("s", 7, 100)]), now.after_millis(1_800));
-    assert!(row.holds(key("s", 7), 100, now));
-    assert!(!row.holds(key("t", 7), 100, now), "another salt is another segment");
-    assert!(!row.holds(key("s", 7), 100, now.after_millis(5_000)), "an unreachable store counts as empty");
-    row.lose();
-    assert!(!row.holds(key("s", 7), 100, now));
+    assert!(row.contains(key("s", 7), 100, now));
+    assert!(!row.contains(key("t", 7), 100, now), "another salt is another segment");
+    assert!(!row.contains(key("s", 7), 100, now.after_millis(5_000)), "an unreachable store counts as empty");
+    row.mark_unreachable();
+    assert!(!row.contains(key("s", 7), 100, now));
 }
 
 #[test]
@@ -75,8 +75,8 @@
     let mut row = store(1_000);
     row.replace(&update(3, vec![change("s", 7, 100)]), Moment::NEVER);
     row.replace(&update(4, vec![change("s", 8, 100)]), Moment::NEVER);
-    assert!(!row.holds(key("s", 7), 100, Moment(0)));
-    assert!(row.holds(key("s", 8), 100, Moment(0)));
+    assert!(!row.contains(key("s", 7), 100, Moment(0)));
+    assert!(row.contains(key("s", 8), 100, Moment(0)));
 }
 
 #[test]
@@ -84,7 +84,7 @@
     let mut row = store(1_000);
     row.replace(&update(1, vec![change("s", 1, 500)]), Moment(0));
     assert!(row.has_capacity(400));
-    row.ask(key("s", 2), 300, Moment(0));
+    row.record_request(key("s", 2), 300, Moment(0));
     assert!(!row.has_capacity(400));
     row.apply(&update(1, vec![change("s", 1, 0)]), Moment(0));
     assert!(row.has_capacity(400));
@@ -111,10 +111,10 @@
     // Guards against excessive charged calls: in a small replica of a grown day, 473,934 charged calls were
     // made for 2,714 requests, since with 16 VMs each refused call was followed at once by a listing.
     let schedule = PollSchedule::new(vms, max_calls);
-    let round_millis = schedule.held_millis + schedule.rest_millis;
-    let waiting_calls = vms as f64 * schedule.held_millis as f64 / round_millis as f64;
+    let round_millis = schedule.long_poll_millis + schedule.delay_millis;
+    let waiting_calls = vms as f64 * schedule.long_poll_millis as f64 / round_millis as f64;
     assert!(waiting_calls <= f64::from(max_calls), "{waiting_calls}");
-    assert!(schedule.held_millis >= 200, "shorter calls are charged");
+    assert!(schedule.long_poll_millis >= 200, "shorter calls are charged");
     assert!(schedule.report_lifetime_millis() > 2 * round_millis);
 }
 
@@ -127,7 +127,7 @@
     assert!(!row.has_capacity(500));
     assert!(!row.has_or_awaits(key("s", 1), now));
     // Sent from here, too: it counts once, and is expected.
-    row.ask(key("s", 1), 600, now);
+    row.record_request(key("s", 1), 600, now);
     row.record_remote_request(key("s", 1), 600, now);
     assert!(row.has_capacity(300));
     assert!(row.has_or_awaits(key("s", 1), now));
@@ -208,8 +208,8 @@
     assert_eq!(messages, (STORE_COUNT * SEGMENTS_PER_STORE).div_ceil(500));
     let has_same_contents = |(store, row): (EndpointKey, &StoreRow)| {
         (0..STORE_COUNT * SEGMENTS_PER_STORE).all(|segment| {
-            row.holds(key("s", segment), 5_000, Moment(0))
-                == sender.store(store).unwrap().holds(key("s", segment), 5_000, Moment(0))
+            row.contains(key("s", segment), 5_000, Moment(0))
+                == sender.store(store).unwrap().contains(key("s", segment), 5_000, Moment(0))
         })
     };
     assert!(receiver.stores().all(has_same_contents));
--- a/crates/decide/tests/peer_loads.rs
+++ b/crates/decide/tests/peer_loads.rs
@@ -35,7 +35,11 @@
 }
 
 fn load(running: u32) -> LoadCount {
-    LoadCount { running, unread_tokens: u64::from(running) * 10, memory_tokens: u64::from(running) * 100 }
+    LoadCount {
+        running,
+        pending_prefill_tokens: u64::from(running) * 10,
+        memory_tokens: u64::from(running) * 100,
+    }
 }
 
 fn table() -> FleetTable {
--- a/crates/decide/tests/peer_table.rs
+++ b/crates/decide/tests/peer_table.rs
@@ -31,9 +31,9 @@
     // VMs that never sent a digest do not count as unreachable: VMs start at different times.
     assert!(table.unreachable_data_centres(at(5_000)).is_empty());
     for name in ["vm-2", "vm-3", "vm-4"] {
-        assert!(table.hear(VmKey::of(name), 1, 1, at(0)));
+        assert!(table.record_digest(VmKey::of(name), 1, 1, at(0)));
     }
-    assert!(table.hear(VmKey::of("vm-3"), 1, 2, at(500)));
+    assert!(table.record_digest(VmKey::of("vm-3"), 1, 2, at(500)));
     assert_eq!(table.unreachable_data_centres(at(1_000)), ["dc-a"]);
     assert_eq!(table.unreachable_data_centres(at(1_300)), ["dc-a", "dc-b"]);
 }
@@ -42,19 +42,19 @@
 fn old_and_repeated_digests_are_rejected() {
     let mut table = table();
     let vm = VmKey::of("vm-2");
-    assert!(table.hear(vm, 1, 5, at(0)));
-    assert!(!table.hear(vm, 1, 5, at(1)));
-    assert!(!table.hear(vm, 1, 4, at(1)));
+    assert!(table.record_digest(vm, 1, 5, at(0)));
+    assert!(!table.record_digest(vm, 1, 5, at(1)));
+    assert!(!table.record_digest(vm, 1, 4, at(1)));
     // A restarted VM restarts its sequence numbers.
-    assert!(table.hear(vm, 2, 1, at(2)));
-    assert!(!table.hear(VmKey::of("vm-9"), 1, 1, at(2)));
+    assert!(table.record_digest(vm, 2, 1, at(2)));
+    assert!(!table.record_digest(VmKey::of("vm-9"), 1, 1, at(2)));
 }
 
 #[test]
 fn a_vm_stays_while_it_is_listed_or_live() {
     let mut table = table();
     assert_eq!((table.listed_count(), table.own_name_index()), (4, 0));
-    table.hear(VmKey::of("vm-2"), 1, 1, at(0));
+    table.record_digest(VmKey::of("vm-2"), 1, 1, at(0));
     table.unlist("vm-2", at(100));
     table.unlist("vm-3", at(100));
     assert_eq!(table.listed_count(), 3);
@@ -100,13 +100,13 @@
     // No digest was received yet: a VM without reachable peers leads.
     assert_eq!(table.leader_rank(at(0)), 0);
     for name in ["vm-a0", "vm-a1", "vm-a4", "vm-a8", "vm-b0"] {
-        table.hear(VmKey::of(name), 1, 1, at(0));
+        table.record_digest(VmKey::of(name), 1, 1, at(0));
     }
     assert_eq!(table.leader_rank(at(100)), 3);
     assert!(table.precedes_as_leader(VmKey::of("vm-a1")));
     assert!(!table.precedes_as_leader(VmKey::of("vm-a8")));
     assert!(!table.precedes_as_leader(VmKey::of("vm-b0")));
-    table.hear(VmKey::of("vm-a4"), 1, 2, at(800));
+    table.record_digest(VmKey::of("vm-a4"), 1, 2, at(800));
     assert_eq!(table.leader_rank(at(900)), 1);
 }
 
@@ -117,8 +117,8 @@
     assert_eq!(table.remote_leaders(0, at(0)), address("vm-b0"));
     assert_eq!(table.remote_leaders(1, at(0)), address("vm-b1"));
     // The first leader is dead, so the next VMs lead.
-    table.hear(VmKey::of("vm-b1"), 1, 1, at(0));
-    table.hear(VmKey::of("vm-b2"), 1, 1, at(0));
+    table.record_digest(VmKey::of("vm-b1"), 1, 1, at(0));
+    table.record_digest(VmKey::of("vm-b2"), 1, 1, at(0));
     assert_eq!(table.remote_leaders(0, at(100)), address("vm-b1"));
     assert_eq!(table.remote_leaders(1, at(100)), address("vm-b2"));
 }
@@ -126,7 +126,7 @@
 #[test]
 fn remote_vms_that_a_leader_receives_from_are_reachable_for_its_data_centre() {
     let mut leader = table();
-    assert!(leader.hear(VmKey::of("vm-3"), 7, 4, at(1_000)));
+    assert!(leader.record_digest(VmKey::of("vm-3"), 7, 4, at(1_000)));
     let relayed = leader.live_remote_peers(at(1_100));
     assert_eq!(
         relayed.iter().map(|(heartbeat, micros)| (heartbeat.vm, *micros)).collect::<Vec<_>>(),
@@ -148,8 +148,8 @@
 #[test]
 fn remote_vms_without_a_recent_digest_are_not_propagated() {
     let mut leader = table();
-    assert!(leader.hear(VmKey::of("vm-2"), 1, 1, at(1_000)));
-    assert!(leader.hear(VmKey::of("vm-3"), 1, 1, at(0)));
+    assert!(leader.record_digest(VmKey::of("vm-2"), 1, 1, at(1_000)));
+    assert!(leader.record_digest(VmKey::of("vm-3"), 1, 1, at(0)));
     assert!(leader.live_remote_peers(at(1_300)).is_empty());
 }
 
@@ -174,7 +174,7 @@
     assert_eq!(leader_count(&table, at(100)), 2);
     // No digest arrives in time: no VM leads until a digest of one is received.
     assert_eq!(leader_count(&table, at(1_300)), 0);
-    assert!(table.hear(VmKey::of("vm-07"), 1, 1, at(1_300)));
+    assert!(table.record_digest(VmKey::of("vm-07"), 1, 1, at(1_300)));
     assert_eq!(leader_count(&table, at(1_400)), 1);
 }
 
@@ -185,7 +185,7 @@
         table.list_at(entry(name, "dc-a"), at(0));
     }
     assert_eq!((table.leader_rank(at(100)), table.expected_leader_rank(at(100))), (0, 2));
-    assert!(table.hear(VmKey::of("vm-04"), 1, 1, at(1_000)));
+    assert!(table.record_digest(VmKey::of("vm-04"), 1, 1, at(1_000)));
     assert_eq!((table.leader_rank(at(1_250)), table.expected_leader_rank(at(1_250))), (1, 1));
     // The same entry listed again does not count as newly listed; another incarnation does.
     table.list_at(entry("vm-03", "dc-a"), at(1_300));
@@ -199,9 +199,9 @@
     let mut table = table();
     let vm = VmKey::of("vm-2");
     assert!(table.record_relayed_digest(vm, 1, 9, at(0)));
-    assert!(table.hear(vm, 1, 8, at(1)));
+    assert!(table.record_digest(vm, 1, 8, at(1)));
     assert!(!table.record_relayed_digest(vm, 1, 9, at(2)));
-    assert!(!table.hear(vm, 1, 8, at(2)));
+    assert!(!table.record_digest(vm, 1, 8, at(2)));
 }
 
 #[test]
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -68,16 +68,16 @@
     PlacementRequest {
         service: "llm",
         data_centre: "dc-a",
-        silent: &[],
-        parts: &SEGMENTS,
+        unreachable_data_centres: &[],
+        segments: &SEGMENTS,
         prompt_tokens: 9_000,
         output_tokens: 10,
         objective_millis: 500,
         bytes: 18_000,
         model: Some("m"),
-        wanted: None,
+        required_weights: None,
         memory_fraction: 1.0,
-        wall: "shared",
+        isolation_scope: "shared",
         exclude: &[],
         versions: &VersionSplit::Any,
         homes: HomeRegions::default(),
@@ -86,8 +86,8 @@
     }
 }
 
-fn load(unread_tokens: u64, memory_tokens: u64) -> LoadCount {
-    LoadCount { running: 1, unread_tokens, memory_tokens }
+fn load(pending_prefill_tokens: u64, memory_tokens: u64) -> LoadCount {
+    LoadCount { running: 1, pending_prefill_tokens, memory_tokens }
 }
 
 fn key(id: &str) -> EndpointKey {
@@ -156,15 +156,20 @@
     // Old weights only raise the cost, until they are overdue.
     let small = PlacementRequest { bytes: 100, ..request() };
     assert_eq!(
-        chosen(&table, &PlacementRequest { wanted: Some(&not_overdue), ..small.clone() }).key,
+        chosen(&table, &PlacementRequest { required_weights: Some(&not_overdue), ..small.clone() }).key,
         key("i-2")
     );
     let only = [key("i-2")];
-    let at_old_weights = PlacementRequest { wanted: Some(&overdue), exclude: &only, ..small.clone() };
+    let at_old_weights =
+        PlacementRequest { required_weights: Some(&overdue), exclude: &only, ..small.clone() };
     assert!(place(&table, &at_old_weights, NOW).is_none());
     assert!(
-        place(&table, &PlacementRequest { wanted: Some(&not_overdue), exclude: &only, ..small }, NOW)
-            .is_some()
+        place(
+            &table,
+            &PlacementRequest { required_weights: Some(&not_overdue), exclude: &only, ..small },
+            NOW
+        )
+        .is_some()
     );
 }
 
@@ -174,7 +179,7 @@
     // are allowed.
     let mut table = table(&[entry("i-1", "dc-a", 1)]);
     let required = RequiredWeights { newest: 2, bounds: vec![(2, NOW.after_millis(2_500))] };
-    let request = PlacementRequest { wanted: Some(&required), ..request() };
+    let request = PlacementRequest { required_weights: Some(&required), ..request() };
     assert!(place(&table, &request, NOW).is_some());
     // The bound is near.
     assert!(place(&table, &request, NOW.after_millis(1_700)).is_none());
@@ -198,8 +203,8 @@
     let mut table = two_engines();
     let now = NOW;
     let change = |segment, tokens| CacheChange {
-        salt: "shared.m.1".to_owned(),
-        part: segment,
+        cache_salt: "shared.m.1".to_owned(),
+        segment,
         segment_text: segment.to_string(),
         tokens,
     };
@@ -209,29 +214,33 @@
         ..CacheUpdate::default()
     };
     let before = chosen(&table, &request());
-    assert_eq!((before.kept.moved_tokens, before.load.unread_tokens), (0, 9_000));
+    assert_eq!((before.transfers.moved_tokens, before.load.pending_prefill_tokens), (0, 9_000));
     // Segments that no store contains are to be saved, except the request's own one.
-    assert_eq!(before.kept.saves, [None, None, None], "no update received from the store yet");
+    assert_eq!(before.transfers.saves, [None, None, None], "no update received from the store yet");
     table.store_mut(key("kept")).unwrap().replace(&update, now.after_millis(1_000));
     let after = chosen(&table, &request());
-    assert_eq!((after.kept.moved_tokens, after.load.unread_tokens), (7_500, 1_500));
-    assert_eq!(after.kept.fetches, [Some(key("kept")), Some(key("kept")), None]);
+    assert_eq!((after.transfers.moved_tokens, after.load.pending_prefill_tokens), (7_500, 1_500));
+    assert_eq!(after.transfers.fetches, [Some(key("kept")), Some(key("kept")), None]);
     assert!(after.expected_micros < before.expected_micros);
-    let isolated = chosen(&table, &PlacementRequest { wall: "account:one", ..request() });
-    assert_eq!(isolated.kept.moved_tokens, 0);
-    assert_eq!(isolated.kept.saves, [Some(key("kept")), Some(key("kept")), None]);
+    let isolated = chosen(&table, &PlacementRequest { isolation_scope: "account:one", ..request() });
+    assert_eq!(isolated.transfers.moved_tokens, 0);
+    assert_eq!(isolated.transfers.saves, [Some(key("kept")), Some(key("kept")), None]);
 }
 
 #[test]
 fn a_segment_behind_a_gap_is_not_transferred() {
     let mut table = two_engines();
-    let second_segment =
-        CacheChange { salt: "shared.m.1".to_owned(), part: 2, segment_text: "2".to_owned(), tokens: 5_000 };
+    let second_segment = CacheChange {
+        cache_salt: "shared.m.1".to_owned(),
+        segment: 2,
+        segment_text: "2".to_owned(),
+        tokens: 5_000,
+    };
     let update = CacheUpdate { incarnation: 1, changes: vec![second_segment], ..CacheUpdate::default() };
     table.store_mut(key("kept")).unwrap().replace(&update, NOW.after_millis(1_000));
     let choice = chosen(&table, &request());
-    assert_eq!((choice.kept.moved_tokens, choice.kept.stored_tokens), (0, 5_000));
-    assert_eq!(choice.kept.fetches, [None, None, None]);
+    assert_eq!((choice.transfers.moved_tokens, choice.transfers.stored_tokens), (0, 5_000));
+    assert_eq!(choice.transfers.fetches, [None, None, None]);
 }
 
 /// A slow link can make the transfer of a shared segment take longer than its prefill. Callers with a long
@@ -243,8 +252,8 @@
 fn a_transfer_may_take_a_fraction_of_the_objective(objective_millis: u64, moved_tokens: u64) {
     let mut table = two_engines();
     let change = |segment: u64, tokens| CacheChange {
-        salt: "shared.m.1".to_owned(),
-        part: segment,
+        cache_salt: "shared.m.1".to_owned(),
+        segment,
         segment_text: segment.to_string(),
         tokens,
     };
@@ -255,7 +264,7 @@
     // Transfers of other VMs keep the link busy.
     store.set_peer_transfers(LoadSource::Vm(VmKey(7)), 230_000, None, NOW);
     let choice = chosen(&table, &PlacementRequest { objective_millis, ..request() });
-    assert_eq!(choice.kept.moved_tokens, moved_tokens);
+    assert_eq!(choice.transfers.moved_tokens, moved_tokens);
 }
 
 #[test]
@@ -265,7 +274,7 @@
     table.record_segments(key("i-2"), &SEGMENTS[..2], salt);
     table.take(key("i-2"), load(3_000, 3_000), &[], 0);
     let choice = chosen(&table, &request());
-    assert_eq!((choice.key, choice.kept.kept_tokens), (key("i-2"), 7_500));
+    assert_eq!((choice.key, choice.transfers.kept_tokens), (key("i-2"), 7_500));
 }
 
 #[test]
@@ -282,11 +291,18 @@
     let mut table = table(&[entry("i-1", "dc-a", 1), entry("i-2", "dc-b", 1)]);
     table.take(key("i-1"), load(9_000, 9_000), &[], 0);
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
-    assert_eq!(chosen(&table, &PlacementRequest { silent: &["dc-b"], ..request() }).key, key("i-1"));
+    assert_eq!(
+        chosen(&table, &PlacementRequest { unreachable_data_centres: &["dc-b"], ..request() }).key,
+        key("i-1")
+    );
     // An unreachable data centre is better than none.
     let only = [key("i-1")];
     assert_eq!(
-        chosen(&table, &PlacementRequest { silent: &["dc-b"], exclude: &only, ..request() }).key,
+        chosen(
+            &table,
+            &PlacementRequest { unreachable_data_centres: &["dc-b"], exclude: &only, ..request() }
+        )
+        .key,
         key("i-2")
     );
 }
@@ -326,7 +342,7 @@
         let route = [home.to_owned()];
         let homes = HomeRegions { route: &route, account: &[] };
         let choice = chosen(&table, &PlacementRequest { homes, ..request() });
-        choice.kept.saves.iter().flatten().count()
+        choice.transfers.saves.iter().flatten().count()
     };
     assert!(saves("north") > 0);
     assert_eq!(saves("south"), 0);
--- a/crates/decide/tests/published_weights.rs
+++ b/crates/decide/tests/published_weights.rs
@@ -16,14 +16,14 @@
 fn published(rows: &[(u64, u64)]) -> PublishedWeights {
     let mut weights = PublishedWeights::default();
     for (number, millis) in rows {
-        weights.note(version(*number, *millis), VERSION_MILLIS, at(0));
+        weights.record_publication(version(*number, *millis), VERSION_MILLIS, at(0));
     }
     weights
 }
 
 #[test]
 fn each_version_counts_by_its_own_publication() {
-    let required = published(&[(2, 1_000), (3, 5_000)]).wanted(VERSION_MILLIS).unwrap();
+    let required = published(&[(2, 1_000), (3, 5_000)]).required(VERSION_MILLIS).unwrap();
     assert_eq!(required.start_deadline(1), at(11_000));
     assert_eq!(required.start_deadline(2), at(15_000));
     assert_eq!(required.start_deadline(3), Moment::NEVER);
@@ -42,10 +42,10 @@
 #[test]
 fn versions_older_than_an_overdue_one_are_discarded_without_effect() {
     let mut weights = published(&[(2, 1_000), (3, 2_000), (4, 9_000)]);
-    let (before, now) = (weights.wanted(VERSION_MILLIS).unwrap(), at(12_000));
-    assert!(!weights.note(version(4, 9_000), VERSION_MILLIS, now));
+    let (before, now) = (weights.required(VERSION_MILLIS).unwrap(), at(12_000));
+    assert!(!weights.record_publication(version(4, 9_000), VERSION_MILLIS, now));
     assert_eq!(weights, published(&[(3, 2_000), (4, 9_000)]));
-    let after = weights.wanted(VERSION_MILLIS).unwrap();
+    let after = weights.required(VERSION_MILLIS).unwrap();
     for version in 1..=4 {
         assert_eq!(now >= before.start_deadline(version), now >= after.start_deadline(version), "{version}");
     }
@@ -54,13 +54,13 @@
 #[test]
 fn a_version_older_than_an_overdue_one_is_not_new() {
     let mut weights = published(&[(3, 2_000)]);
-    assert!(!weights.note(version(2, 1_000), VERSION_MILLIS, at(12_000)));
+    assert!(!weights.record_publication(version(2, 1_000), VERSION_MILLIS, at(12_000)));
     assert_eq!(weights, published(&[(3, 2_000)]));
 }
 
 #[test]
 fn nothing_is_required_until_a_version_is_published() {
-    assert_eq!(published(&[]).wanted(VERSION_MILLIS), None);
+    assert_eq!(published(&[]).required(VERSION_MILLIS), None);
 }
 
 #[test]
--- a/crates/decide/tests/reported_health.rs
+++ b/crates/decide/tests/reported_health.rs
@@ -92,7 +92,7 @@
     for reporter in 0..10 {
         fleet.apply_send_report(vm(reporter), &slow, 0.0, at(reporter * 200));
     }
-    assert!(fleet.row(key(0)).unwrap().pace() > 2.2, "{}", fleet.row(key(0)).unwrap().pace());
+    assert!(fleet.row(key(0)).unwrap().slowdown() > 2.2, "{}", fleet.row(key(0)).unwrap().slowdown());
     // Every seventh VM is itself slower by a factor of 5.5.
     let mut fleet = table(2);
     for reporter in 0..70 {
@@ -100,7 +100,7 @@
         let report = SendReport { pace: Some(slowdown), ..slow };
         fleet.apply_send_report(vm(reporter), &report, 0.0, at(reporter * 200));
     }
-    assert!(fleet.row(key(0)).unwrap().pace() < 1.3, "{}", fleet.row(key(0)).unwrap().pace());
+    assert!(fleet.row(key(0)).unwrap().slowdown() < 1.3, "{}", fleet.row(key(0)).unwrap().slowdown());
 }
 
 #[test]
@@ -132,16 +132,16 @@
     let request = PlacementRequest {
         service: "llm",
         data_centre: "dc-a",
-        silent: &[],
-        parts: &segments,
+        unreachable_data_centres: &[],
+        segments: &segments,
         prompt_tokens: 1_700,
         output_tokens: 4,
         objective_millis: 500,
         bytes: 0,
         model: None,
-        wanted: None,
+        required_weights: None,
         memory_fraction: 1.0,
-        wall: "shared",
+        isolation_scope: "shared",
         exclude: &[],
         versions: &VersionSplit::Any,
         homes: HomeRegions::default(),
@@ -161,7 +161,7 @@
     // VM and engine of each send, by the time at which it finishes.
     let mut sends: BTreeMap<u64, Vec<(usize, usize)>> = BTreeMap::new();
     let (mut lost, mut all) = (0, 0);
-    let load = LoadCount { running: 1, unread_tokens: 1_700, memory_tokens: 1_700 };
+    let load = LoadCount { running: 1, pending_prefill_tokens: 1_700, memory_tokens: 1_700 };
     for millis in (0..16_000).step_by(STEP_MILLIS as usize) {
         let now = at(millis);
         for (sender, table) in tables.iter_mut().enumerate() {
--- a/crates/decide/tests/request_quarantine.rs
+++ b/crates/decide/tests/request_quarantine.rs
@@ -20,8 +20,8 @@
 
 fn report(number: u64, start: u64, at: Moment) -> CrashReport {
     let start = EndpointKey(start);
-    let ending = EndpointCrash { start, place: start.0, service: 1, among: 18, at };
-    CrashReport { request: request(number), ending, age_micros: 60_000 }
+    let crash = EndpointCrash { start, place: start.0, service: 1, among: 18, at };
+    CrashReport { request: request(number), crash, age_micros: 60_000 }
 }
 
 /// Evaluates the evidence that arrived at `at`.
@@ -40,7 +40,7 @@
 }
 
 fn is_quarantined(quarantine: &RequestQuarantine, number: u64, now: Moment) -> bool {
-    quarantine.held(request(number), now).is_some()
+    quarantine.quarantined(request(number), now).is_some()
 }
 
 #[test]
@@ -170,8 +170,8 @@
     record_three_crashes(&mut first_vm, 10, begun_at);
     repeat_messages(&mut first_vm, &mut second_vm, begun_at, 16);
     let released_at = Moment(begun_at.0 + 40 * MICROS_PER_SECOND);
-    assert_eq!(first_vm.lift(request(1), released_at), Some(1));
-    assert_eq!(first_vm.lift(request(1), released_at), None);
+    assert_eq!(first_vm.release(request(1), released_at), Some(1));
+    assert_eq!(first_vm.release(request(1), released_at), None);
     let message = QuarantineMessage::Held {
         request: request(1),
         round: 1,
@@ -246,10 +246,10 @@
     record_three_crashes(&mut quarantine, 10, begun_at);
     let at = Moment(begun_at.0 + MICROS_PER_SECOND);
     let (due, row) = quarantine.due_write(at).unwrap();
-    quarantine.lift(due, at);
+    quarantine.release(due, at);
     // The write completes, and the store reports it.
     quarantine.record_written(due, &row, Moment::NEVER);
-    quarantine.adopt_stored(due, (row.round, row.endings), at);
+    quarantine.adopt_stored(due, (row.round, row.crashes), at);
     let (due, row) = quarantine.due_write(at).unwrap();
     assert_eq!((due, row.phase), (request(1), QuarantinePhase::Lifted));
     quarantine.record_written(due, &row, Moment::NEVER);
--- a/crates/decide/tests/rollout.rs
+++ b/crates/decide/tests/rollout.rs
@@ -104,8 +104,8 @@
             own: keys[own],
             data_centre: "dc-a".to_owned(),
             is_list_current: true,
-            near: Vec::new(),
-            all: keys.iter().copied().filter(|key| *key != keys[own]).collect(),
+            local_vms: Vec::new(),
+            other_vms: keys.iter().copied().filter(|key| *key != keys[own]).collect(),
             remote_data_centres: BTreeSet::new(),
         };
         Self {
@@ -165,7 +165,7 @@
             self.request(vm, fault, now, outcome);
         }
         for vm in 0..count {
-            let counts = self.vms[vm].sums.near.take();
+            let counts = self.vms[vm].sums.local.take();
             if counts.is_empty() {
                 continue;
             }
--- a/crates/decide/tests/share_queue.rs
+++ b/crates/decide/tests/share_queue.rs
@@ -14,12 +14,12 @@
     Moment(millis * 1_000)
 }
 
-fn queue_entry(number: u64, rank: u8, account: &str, millis: u64) -> QueueEntry {
+fn queue_entry(number: u64, priority: u8, account: &str, millis: u64) -> QueueEntry {
     QueueEntry {
         number,
-        rank,
+        priority,
         account: account.to_owned(),
-        received: at(millis),
+        received_at: at(millis),
         objective_millis: OBJECTIVE_MILLIS,
     }
 }
@@ -55,20 +55,24 @@
 fn requests_go_by_priority_then_by_least_served_account_then_by_arrival() {
     let mut queue = ShareQueue::default();
     queue.record_served(SERVICE, &queue_entry(1, 1, "busy", 0), at(0));
-    for (number, rank, account) in [(2, 1, "busy"), (3, 1, "quiet"), (4, 1, "quiet"), (5, 0, "busy")] {
-        let verdict =
-            queue.admit(SERVICE, &queue_entry(number, rank, account, number), &capacity(100.0, 50), at(10));
+    for (number, priority, account) in [(2, 1, "busy"), (3, 1, "quiet"), (4, 1, "quiet"), (5, 0, "busy")] {
+        let verdict = queue.admit(
+            SERVICE,
+            &queue_entry(number, priority, account, number),
+            &capacity(100.0, 50),
+            at(10),
+        );
         assert!(matches!(verdict, ShareVerdict::Wait(_)), "{number}: {verdict:?}");
     }
     let mut served = Vec::new();
     let mut waiting = vec![(2, 1, "busy"), (3, 1, "quiet"), (4, 1, "quiet"), (5, 0, "busy")];
     while !waiting.is_empty() {
         let now = at(60);
-        let position = waiting.iter().position(|(number, rank, account)| {
-            queue.is_next_in_queue(SERVICE, &queue_entry(*number, *rank, account, *number), now)
+        let position = waiting.iter().position(|(number, priority, account)| {
+            queue.is_next_in_queue(SERVICE, &queue_entry(*number, *priority, account, *number), now)
         });
-        let (number, rank, account) = waiting.remove(position.expect("one of them is next in the queue"));
-        queue.record_served(SERVICE, &queue_entry(number, rank, account, number), now);
+        let (number, priority, account) = waiting.remove(position.expect("one of them is next in the queue"));
+        queue.record_served(SERVICE, &queue_entry(number, priority, account, number), now);
         served.push(number);
     }
     // The quiet account's second request goes before the busy account's, which has been served twice by then.
@@ -83,7 +87,7 @@
     assert_eq!(verdict, ShareVerdict::Wait(at(200)));
     assert!(queue.is_next_in_queue(SERVICE, &queue_entry(2, 1, "b", 10), at(10)));
     assert!(!queue.is_next_in_queue(SERVICE, &queue_entry(2, 1, "b", 10), at(200)));
-    queue.leave(SERVICE, 1);
+    queue.remove(SERVICE, 1);
     assert!(queue.is_next_in_queue(SERVICE, &queue_entry(2, 1, "b", 10), at(200)));
 }
 
@@ -132,11 +136,11 @@
     let (mut waiting, mut next_at, mut number) = (Vec::<(&'static str, QueueEntry)>::new(), at(0), 0);
     for step in 0..6_000 {
         let now = at(step * 10);
-        for &(account, rank, rate) in accounts {
+        for &(account, priority, rate) in accounts {
             if random.random_bool(rate / 100.0) {
                 number += 1;
                 totals_by_account.entry(account).or_default().sent += 1;
-                waiting.push((account, queue_entry(number, rank, account, step * 10)));
+                waiting.push((account, queue_entry(number, priority, account, step * 10)));
             }
         }
         waiting.retain(|(account, entry)| {
@@ -155,7 +159,7 @@
                 backoff_until: None,
             };
             let is_waiting = matches!(queue.admit(SERVICE, entry, &capacity, now), ShareVerdict::Wait(_));
-            totals.longest_millis = totals.longest_millis.max(now.micros_since(entry.received) / 1_000);
+            totals.longest_millis = totals.longest_millis.max(now.micros_since(entry.received_at) / 1_000);
             is_waiting
         });
     }
--- a/crates/decide/tests/shared_fleet/mod.rs
+++ b/crates/decide/tests/shared_fleet/mod.rs
@@ -50,11 +50,11 @@
 /// One VM with its view of the others.
 #[derive(Debug)]
 pub struct SimulatedVm {
-    pub standing: ListMembership,
+    pub membership: ListMembership,
     /// Its right, as of its last update.
     pub right: ShareRight,
     /// Its share, as of its last update.
-    pub part: u64,
+    pub share: u64,
     peer_table: PeerTable,
     /// Whether its list contains each VM's entry, by the VM's number.
     listed: Vec<bool>,
@@ -73,9 +73,9 @@
     fn new(entry: &VmEntry, number: usize, now: Moment) -> Self {
         let own = VmKey::of(&entry.name);
         Self {
-            standing: ListMembership::default(),
+            membership: ListMembership::default(),
             right: ShareRight::alone(own, &entry.data_centre),
-            part: 0,
+            share: 0,
             peer_table: PeerTable::new(entry.clone()),
             listed: Vec::new(),
             sends: RecentSends::default(),
@@ -114,7 +114,7 @@
         if now >= self.next_renewal_at {
             self.next_renewal_at = now.after_millis(RENEWAL_INTERVAL_MILLIS[lease_index]);
             store.renew(self.number, LEASE_MILLIS[lease_index], now);
-            self.standing
+            self.membership
                 .record_listing(now.after_millis(LEASE_MILLIS[lease_index] - LEASE_MARGIN_MILLIS), now);
         }
         if now >= self.next_update_at {
@@ -122,10 +122,10 @@
             let age = random.random_range(0..MAX_UPDATE_MILLIS);
             let confirmed_at = Moment(now.0.saturating_sub(age * 1_000)).max(self.confirmed_at);
             self.confirmed_at = confirmed_at;
-            self.standing.record_list_confirmation(confirmed_at);
+            self.membership.record_list_confirmation(confirmed_at);
             self.apply_list(store, now);
-            self.right = self.peer_table.share_right(&self.standing, now);
-            self.part = self.right.part(scene.endpoint, scene.data_centre, &scene.terms);
+            self.right = self.peer_table.share_right(&self.membership, now);
+            self.share = self.right.share(scene.endpoint, scene.data_centre, &scene.terms);
         }
     }
 
--- a/crates/decide/tests/shared_rate.rs
+++ b/crates/decide/tests/shared_rate.rs
@@ -23,11 +23,11 @@
 /// The implemented rule.
 fn own_share(vm: &SimulatedVm, scene: &SharedEndpoint, now: Moment) -> u64 {
     let may_send = if scene.terms.needs_current_list {
-        vm.standing.is_list_current(now)
+        vm.membership.is_list_current(now)
     } else {
-        vm.standing.holds(now)
+        vm.membership.may_use_share(now)
     };
-    if may_send { vm.part } else { 0 }
+    if may_send { vm.share } else { 0 }
 }
 
 fn cold_scene() -> SharedEndpoint {
--- a/crates/decide/tests/table_memory.rs
+++ b/crates/decide/tests/table_memory.rs
@@ -51,7 +51,7 @@
     let listed_bytes = resident_bytes();
     let keys: Vec<_> = table.rows().map(|(key, _)| key).collect();
     let segments: Vec<_> = (0..6).map(|number| PromptSegment { key: number, tokens: 500 }).collect();
-    let load = LoadCount { running: 1, unread_tokens: 100, memory_tokens: 200 };
+    let load = LoadCount { running: 1, pending_prefill_tokens: 100, memory_tokens: 200 };
     for (number, key) in keys.iter().enumerate() {
         table.take(*key, load, &segments, number as u64);
         let source = LoadSource::Vm(VmKey(number as u64 % 7));
--- a/crates/decide/tests/update_fragments.rs
+++ b/crates/decide/tests/update_fragments.rs
@@ -34,9 +34,9 @@
     let last = fragments.pop().unwrap();
     let mut reassembly = UpdateReassembly::default();
     for fragment in fragments.iter().chain([&duplicate]) {
-        assert_eq!(reassembly.take(REPORTER, rev(6), rev(7), fragment), ReassemblyProgress::Partial);
+        assert_eq!(reassembly.add_fragment(REPORTER, rev(6), rev(7), fragment), ReassemblyProgress::Partial);
     }
-    assert_eq!(reassembly.take(REPORTER, rev(6), rev(7), &last), ReassemblyProgress::Whole(events));
+    assert_eq!(reassembly.add_fragment(REPORTER, rev(6), rev(7), &last), ReassemblyProgress::Whole(events));
 }
 
 #[test]
@@ -45,17 +45,29 @@
     let (first_fragments, second_fragments) = (split_update(&first).unwrap(), split_update(&second).unwrap());
     let mut reassembly = UpdateReassembly::default();
     for (first_fragment, second_fragment) in first_fragments.iter().zip(&second_fragments).skip(1) {
-        assert_eq!(reassembly.take(REPORTER, rev(6), rev(7), first_fragment), ReassemblyProgress::Partial);
-        assert_eq!(reassembly.take(REPORTER, rev(7), rev(8), second_fragment), ReassemblyProgress::Partial);
-        assert_eq!(reassembly.take(VmKey(2), rev(6), rev(7), first_fragment), ReassemblyProgress::Partial);
+        assert_eq!(
+            reassembly.add_fragment(REPORTER, rev(6), rev(7), first_fragment),
+            ReassemblyProgress::Partial
+        );
+        assert_eq!(
+            reassembly.add_fragment(REPORTER, rev(7), rev(8), second_fragment),
+            ReassemblyProgress::Partial
+        );
+        assert_eq!(
+            reassembly.add_fragment(VmKey(2), rev(6), rev(7), first_fragment),
+            ReassemblyProgress::Partial
+        );
     }
     assert_eq!(
-        reassembly.take(REPORTER, rev(7), rev(8), &second_fragments[0]),
+        reassembly.add_fragment(REPORTER, rev(7), rev(8), &second_fragments[0]),
         ReassemblyProgress::Whole(second)
     );
     reassembly.discard_up_to(rev(7));
     // The earlier fragments were discarded, so this fragment starts a new reassembly.
-    assert_eq!(reassembly.take(REPORTER, rev(6), rev(7), &first_fragments[0]), ReassemblyProgress::Partial);
+    assert_eq!(
+        reassembly.add_fragment(REPORTER, rev(6), rev(7), &first_fragments[0]),
+        ReassemblyProgress::Partial
+    );
 }
 
 #[test]
@@ -79,10 +91,13 @@
     let mut reassembly = UpdateReassembly::default();
     for (place, count) in [(0, 0), (3, 3), (0, u32::MAX)] {
         (fragment.place, fragment.count) = (place, count);
-        assert_eq!(reassembly.take(REPORTER, rev(6), rev(7), &fragment), ReassemblyProgress::Unreadable);
+        assert_eq!(
+            reassembly.add_fragment(REPORTER, rev(6), rev(7), &fragment),
+            ReassemblyProgress::Unreadable
+        );
     }
     (fragment.place, fragment.count) = (0, 1);
-    assert_eq!(reassembly.take(REPORTER, rev(6), rev(7), &fragment), ReassemblyProgress::Unreadable);
+    assert_eq!(reassembly.add_fragment(REPORTER, rev(6), rev(7), &fragment), ReassemblyProgress::Unreadable);
 }
 
 #[test]
@@ -94,7 +109,7 @@
     for fragment in &fragments {
         for reporter in 0..9 {
             complete += usize::from(matches!(
-                reassembly.take(VmKey(reporter), rev(6), rev(7), fragment),
+                reassembly.add_fragment(VmKey(reporter), rev(6), rev(7), fragment),
                 ReassemblyProgress::Whole(_)
             ));
         }
--- a/crates/decide/tests/weight_scheduler.rs
+++ b/crates/decide/tests/weight_scheduler.rs
@@ -9,7 +9,7 @@
 fn orders(steps: &[WeightStep]) -> Vec<u64> {
     let ordered = steps.iter().filter_map(|step| match step {
         WeightStep::Order(key, _, _) => Some(key.0),
-        WeightStep::Close(_) => None,
+        WeightStep::Cordon(_) => None,
     });
     ordered.collect()
 }
@@ -18,7 +18,7 @@
 fn engines_with_the_oldest_weights_come_first() {
     let engines: Vec<_> = (0..10).map(|key| engine(key, if key >= 6 { 1 } else { 2 }, 0)).collect();
     let steps = WeightScheduler::new(10_000).steps(&engines, Moment(0));
-    assert_eq!(steps, [6, 7, 8].map(|key| WeightStep::Close(EndpointKey(key))));
+    assert_eq!(steps, [6, 7, 8].map(|key| WeightStep::Cordon(EndpointKey(key))));
 }
 
 #[test]
@@ -74,7 +74,7 @@
 ) {
     let own = LeaseHolder { name: "vm-1".to_owned(), incarnation: 7, lease: 3 };
     let record = LeaseHolder { name: name.to_owned(), incarnation, lease };
-    assert_eq!(record.standing(&own), expected);
+    assert_eq!(record.ownership(&own), expected);
 }
 
 #[test]
@@ -91,7 +91,7 @@
 #[test]
 fn an_unreachable_engine_releases_its_slot_and_comes_last() {
     let engines: Vec<_> = (0..4).map(|key| engine(key, 1, 0)).collect();
-    let cordoned = |key| WeightStep::Close(EndpointKey(key));
+    let cordoned = |key| WeightStep::Cordon(EndpointKey(key));
     let mut scheduler = WeightScheduler::new(10_000);
     assert_eq!(scheduler.steps(&engines, Moment(0)), [cordoned(0)]);
     let at = |millis| Moment(0).after_millis(millis);
--- a/crates/gateway/src/endpoints/crash_detector.rs
+++ b/crates/gateway/src/endpoints/crash_detector.rs
@@ -131,11 +131,7 @@
             "endpoint.ended");
         for send in &suspicion.sends {
             let BrokenSend { request, crash, age_micros, .. } = *send;
-            self.record_own_crash(
-                &CrashReport { request, ending: crash, age_micros },
-                send,
-                &suspicion.endpoint.id,
-            );
+            self.record_own_crash(&CrashReport { request, crash, age_micros }, send, &suspicion.endpoint.id);
         }
         suspicion.probed.send_replace(true);
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -360,7 +360,7 @@
     /// Returns the versions that a request to `model` may start on, if one is published.
     pub(crate) fn required_weights(&self, model: &str) -> Option<RequiredWeights> {
         let weights = self.weights.read().unwrap_or_else(PoisonError::into_inner);
-        weights.get(&short_digest(model))?.wanted(self.settings.version_ms)
+        weights.get(&short_digest(model))?.required(self.settings.version_ms)
     }
 
     /// Returns the published versions of each model, by the digest of its name.
@@ -402,7 +402,7 @@
 
     fn record_published_version(&self, model: u64, published: PublishedVersion, now: Moment) -> bool {
         let mut weights = self.weights.write().unwrap_or_else(PoisonError::into_inner);
-        weights.entry(model).or_default().note(published, self.settings.version_ms, now)
+        weights.entry(model).or_default().record_publication(published, self.settings.version_ms, now)
     }
 
     /// Returns the data centres that seem cut off: their VMs are unreachable, and a send to them broke.
--- a/crates/gateway/src/memory/memory_limiter.rs
+++ b/crates/gateway/src/memory/memory_limiter.rs
@@ -75,7 +75,7 @@
 
     /// Protects the reservation from eviction.
     pub(crate) fn disable_eviction(&self) {
-        self.limiter.state().held.settle(self.id);
+        self.limiter.state().held.pin(self.id);
     }
 
     /// Whether it was evicted, because it was the largest.
@@ -96,7 +96,7 @@
 impl Drop for MemoryReservation {
     fn drop(&mut self) {
         let mut state = self.limiter.state();
-        state.held.end(self.id);
+        state.held.release(self.id);
         state.evictions.remove(&self.id);
     }
 }
--- a/crates/gateway/src/operators/gateway_status.rs
+++ b/crates/gateway/src/operators/gateway_status.rs
@@ -53,7 +53,7 @@
         let report = row.limit.report()?;
         let kept_per_s = row.limit.rate(now)?;
         let terms = RateTerms::of_limit(kept_per_s);
-        let share = right.map_or(0, |right| right.part(key, &row.entry.data_centre, &terms));
+        let share = right.map_or(0, |right| right.share(key, &row.entry.data_centre, &terms));
         Some(Self {
             endpoint: row.entry.id.clone(),
             service: row.entry.service.clone(),
@@ -76,7 +76,7 @@
 
 impl BackoffStatus {
     fn of(row: &EndpointRow, now: Moment) -> Option<Self> {
-        let left_ms = row.rest.until(now)?.micros_since(now) / MICROS_PER_MILLI;
+        let left_ms = row.backoff.until(now)?.micros_since(now) / MICROS_PER_MILLI;
         let (endpoint, service) = (row.entry.id.clone(), row.entry.service.clone());
         Some(Self { endpoint, service, left_ms })
     }
--- a/crates/gateway/src/orders/order_task.rs
+++ b/crates/gateway/src/orders/order_task.rs
@@ -115,7 +115,7 @@
         self.query_reports(gateway);
         for step in self.scheduler.steps(&engine_states(gateway), gateway.now()) {
             match step {
-                WeightStep::Close(key) => cordon_engines(gateway, &[key]),
+                WeightStep::Cordon(key) => cordon_engines(gateway, &[key]),
                 WeightStep::Order(key, model, version) => {
                     let (gateway, right) = (Arc::clone(gateway), right.clone());
                     self.orders.spawn(async move {
@@ -125,7 +125,7 @@
                 }
             }
         }
-        let cordoned: Vec<_> = self.scheduler.closed().collect();
+        let cordoned: Vec<_> = self.scheduler.cordoned().collect();
         cordon_engines(gateway, &cordoned);
         if cordoned.is_empty() { IDLE_INTERVAL } else { BUSY_INTERVAL }
     }
--- a/crates/gateway/src/peers/cache_index_task.rs
+++ b/crates/gateway/src/peers/cache_index_task.rs
@@ -102,15 +102,15 @@
     position: u64,
 ) -> Option<u64> {
     let schedule = poll_schedule(gateway, spec);
-    let call = (gateway.dialect.kept.events)(position, schedule.held_millis);
-    let timeout = Duration::from_millis(schedule.held_millis) + RESPONSE_TIMEOUT;
+    let call = (gateway.dialect.kept.events)(position, schedule.long_poll_millis);
+    let timeout = Duration::from_millis(schedule.long_poll_millis) + RESPONSE_TIMEOUT;
     let decoder = gateway.dialect.kept.read_events;
     let update = match poll(gateway, key, link, &call, timeout, decoder).await {
         Ok(update) => update,
         Err(PollFailure::Busy(requested_millis)) => {
             // Nothing was missed. The same request is repeated later, at a random distance from those that
             // were refused with it.
-            let regular_millis = schedule.rest_millis + rand::random_range(0..schedule.rest_millis);
+            let regular_millis = schedule.delay_millis + rand::random_range(0..schedule.delay_millis);
             let backoff_millis = regular_millis.max(requested_millis.min(MAX_BUSY_BACKOFF_MILLIS));
             tokio::time::sleep(Duration::from_millis(backoff_millis)).await;
             return Some(position);
@@ -132,7 +132,7 @@
     if !update.changes.is_empty() {
         gateway.cache_index_changed.notify_one();
     }
-    tokio::time::sleep(Duration::from_millis(schedule.rest_millis)).await;
+    tokio::time::sleep(Duration::from_millis(schedule.delay_millis)).await;
     Some(update.next)
 }
 
@@ -178,8 +178,8 @@
         let now = gateway.now();
         let mut table = gateway.table();
         table.store_mut(key).is_some_and(|row| {
-            let is_reachable = row.is_heard(now);
-            row.lose();
+            let is_reachable = row.is_reachable(now);
+            row.mark_unreachable();
             is_reachable
         })
     };
--- a/crates/gateway/src/peers/gossip.rs
+++ b/crates/gateway/src/peers/gossip.rs
@@ -95,7 +95,7 @@
         if broadcasts_to_all || leader_rank >= LEADERS_PER_DATA_CENTRE || remote_data_centre_count == 0 {
             let _ = (gateway.remote_placements.take(), gateway.remote_send_reports.take());
             let _ = (gateway.remote_quarantine_messages.take(), gateway.remote_answers.take());
-            gateway.rollouts().sums.far.clear();
+            gateway.rollouts().sums.remote.clear();
             tokio::time::sleep(LEADER_POLL_INTERVAL).await;
             continue;
         }
@@ -122,7 +122,7 @@
         if targets.is_empty() || remote_data_centre_count == 0 {
             let _ = (gateway.relayed_placements.take(), gateway.relayed_send_reports.take());
             let _ = (gateway.relayed_quarantine_messages.take(), gateway.relayed_answers.take());
-            gateway.rollouts().sums.passed.clear();
+            gateway.rollouts().sums.relayed.clear();
             tokio::time::sleep(LEADER_POLL_INTERVAL).await;
             continue;
         }
--- a/crates/gateway/src/peers/load_digest.rs
+++ b/crates/gateway/src/peers/load_digest.rs
@@ -78,7 +78,7 @@
             reports: gateway.local_send_reports.take(),
             cases: gateway.local_quarantine_messages.take(),
             answers: gateway.local_answers.take(),
-            rollouts: gateway.rollouts().sums.near.take(),
+            rollouts: gateway.rollouts().sums.local.take(),
         };
         let now = gateway.now();
         let table = gateway.table();
@@ -97,7 +97,7 @@
             reports: gateway.remote_send_reports.take(),
             cases: gateway.remote_quarantine_messages.take(),
             answers: gateway.remote_answers.take(),
-            rollouts: gateway.rollouts().sums.far.take_if(is_first),
+            rollouts: gateway.rollouts().sums.remote.take_if(is_first),
         };
         let now = gateway.now();
         let table = gateway.table();
@@ -113,7 +113,7 @@
             reports: gateway.relayed_send_reports.take(),
             cases: gateway.relayed_quarantine_messages.take(),
             answers: gateway.relayed_answers.take(),
-            rollouts: gateway.rollouts().sums.passed.take_if(is_first),
+            rollouts: gateway.rollouts().sums.relayed.take_if(is_first),
         };
         let now = gateway.now();
         let remote_peers = gateway.peers().live_remote_peers(now);
@@ -158,7 +158,7 @@
         Self {
             scope,
             loads: loads
-                .map(|(key, load)| (key, load.running, load.unread_tokens, load.memory_tokens))
+                .map(|(key, load)| (key, load.running, load.pending_prefill_tokens, load.memory_tokens))
                 .collect(),
             placed,
             reports,
@@ -180,7 +180,7 @@
         if self.scope == DigestScope::Elsewhere {
             peers.record_relayed_digest(vm, incarnation, sequence, now)
         } else {
-            peers.hear(vm, incarnation, sequence, now)
+            peers.record_digest(vm, incarnation, sequence, now)
         }
     }
 
@@ -209,9 +209,10 @@
             DigestScope::Elsewhere => (!is_leader).then_some(LoadSource::Elsewhere),
         };
         let is_local = is_local && self.scope == DigestScope::Vm;
-        let loads = self.loads.iter().map(|(key, running, unread_tokens, memory_tokens)| {
-            let (running, unread_tokens, memory_tokens) = (*running, *unread_tokens, *memory_tokens);
-            (*key, LoadCount { running, unread_tokens, memory_tokens })
+        let loads = self.loads.iter().map(|(key, running, pending_prefill_tokens, memory_tokens)| {
+            let (running, pending_prefill_tokens, memory_tokens) =
+                (*running, *pending_prefill_tokens, *memory_tokens);
+            (*key, LoadCount { running, pending_prefill_tokens, memory_tokens })
         });
         let mut table = gateway.table();
         if let Some(source) = source {
--- a/crates/gateway/src/peers/placement_message.rs
+++ b/crates/gateway/src/peers/placement_message.rs
@@ -27,12 +27,12 @@
 
     /// Builds the message of a choice that was made for a prompt of `segments`.
     pub(crate) fn new(choice: &PlacementChoice, segments: &[PromptSegment]) -> Self {
-        let saves = choice.kept.saves.iter().take(MAX_SEGMENTS).enumerate();
+        let saves = choice.transfers.saves.iter().take(MAX_SEGMENTS).enumerate();
         let saves = saves.filter_map(|(index, store)| Some((u8::try_from(index).ok()?, (*store)?)));
         Self {
             key: choice.key,
             parts: segments.iter().take(MAX_SEGMENTS).map(|segment| (segment.key, segment.tokens)).collect(),
-            salt: choice.salt,
+            salt: choice.salt_digest,
             saves: saves.collect(),
         }
     }
--- a/crates/gateway/src/quarantine/quarantine_task.rs
+++ b/crates/gateway/src/quarantine/quarantine_task.rs
@@ -97,7 +97,7 @@
         let grant = (dialect.grant)(remaining_millis.max(MIN_LEASE_MILLIS));
         let Some(Ok(grant)) = self.link.call("grant", &grant, dialect.read_grant).await else { return false };
         let label = self.gateway.desk().label(request).to_owned();
-        let quarantine = StoredQuarantine { round: row.round, endings: row.endings, request: label };
+        let quarantine = StoredQuarantine { round: row.round, endings: row.crashes, request: label };
         // Plain structs of numbers and texts always have a JSON form.
         let value = serde_json::to_vec(&quarantine).unwrap_or_default();
         let key = format!("{QUARANTINE_PREFIX}{request}");
--- a/crates/gateway/src/quarantine/quarantine_tracker.rs
+++ b/crates/gateway/src/quarantine/quarantine_tracker.rs
@@ -55,7 +55,7 @@
     pub(crate) fn describe(&mut self, request: RequestKey, label: &str) {
         if self.labels.len() >= MAX_LABELS && !self.labels.contains_key(&request) {
             let quarantine = &self.quarantine;
-            self.labels.retain(|labelled, _| quarantine.knows(*labelled));
+            self.labels.retain(|labelled, _| quarantine.has_records(*labelled));
         }
         if self.labels.len() < MAX_LABELS {
             let length =
@@ -99,7 +99,7 @@
 
     /// Whether one more crash may quarantine a request.
     pub(crate) fn is_near_quarantine(&self, request: RequestKey) -> bool {
-        self.desk().quarantine.is_close(request)
+        self.desk().quarantine.is_near_threshold(request)
     }
 
     /// Evaluates the requests whose evidence is due.
@@ -164,7 +164,7 @@
 
     /// Releases a request at an operator's command; false if it is not quarantined.
     pub(crate) fn release_request(&self, request: RequestKey) -> bool {
-        let Some(round) = self.desk().quarantine.lift(request, self.now()) else { return false };
+        let Some(round) = self.desk().quarantine.release(request, self.now()) else { return false };
         self.publish_changes(&[QuarantineChange::Lifted { request, round }]);
         true
     }
@@ -178,7 +178,7 @@
             request: tracker.label(request).to_owned(),
             phase: phase_label(row.phase).to_owned(),
             round: row.round,
-            endings: row.endings,
+            endings: row.crashes,
             rest_s: row.until.micros_since(now) / spanfold_entity::MICROS_PER_SECOND,
             turned_away: row.turned_away,
         });
@@ -190,7 +190,7 @@
         for change in changes {
             let (label, request, round) = match *change {
                 QuarantineChange::Begun { request, round, verdict } => {
-                    log::error!(digest:% = request, round, endings = verdict.endings, blamed = verdict.counted,
+                    log::error!(digest:% = request, round, endings = verdict.crashes, blamed = verdict.counted,
                         log_odds = verdict.log_odds, request = self.desk().label(request); "quarantine.begun");
                     ("begun", request, round)
                 }
@@ -220,7 +220,8 @@
     /// Propagates a quarantine that began at this VM: other VMs may lack some of the evidence.
     fn propagate_quarantine(&self, request: RequestKey, round: u32) {
         let now = self.now();
-        let Some(QuarantinedRequest { endings, until, .. }) = self.desk().quarantine.held(request, now)
+        let Some(QuarantinedRequest { crashes: endings, until, .. }) =
+            self.desk().quarantine.quarantined(request, now)
         else {
             return;
         };
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -175,18 +175,18 @@
         let shares = ShareView { right: right.as_deref(), cold: gateway.cold_terms(), vms };
         let request = PlacementRequest {
             service: &context.service,
-            silent: &unreachable,
+            unreachable_data_centres: &unreachable,
             data_centre: &gateway.settings.data_centre,
-            parts: &context.segments,
+            segments: &context.segments,
             prompt_tokens: context.prompt_tokens,
             output_tokens: context.output_tokens,
             objective_millis: context.route.objective_millis,
             bytes: self.body.len(),
             model,
-            wanted: required.as_ref(),
+            required_weights: required.as_ref(),
             memory_fraction: admission.map_or(1.0, |view| view.memory_fraction(gateway.now())),
             homes: routes.homes(&context.host, &context.path, context.account.as_deref()),
-            wall: &context.isolation_scope,
+            isolation_scope: &context.isolation_scope,
             exclude: &self.tried,
             versions: &VersionSplit::Any,
             shares,
@@ -223,7 +223,7 @@
                 return Some(PlaceResult::Late(return_delay_millis));
             }
         }
-        let transfers: Vec<_> = choice.kept.moves(&context.segments).collect();
+        let transfers: Vec<_> = choice.transfers.moves(&context.segments).collect();
         let (endpoint, address) = {
             let mut table = gateway.table();
             let is_limited = table.takes_few_requests(choice.key, gateway.now());
@@ -233,7 +233,7 @@
             if is_limited {
                 gateway.shares.queue().record_served(&context.service, &self.queue_order, gateway.now());
             }
-            table.take(choice.key, choice.load, &context.segments, choice.salt);
+            table.take(choice.key, choice.load, &context.segments, choice.salt_digest);
             let row = table.row(choice.key)?;
             let (id, address) = (row.entry.id.clone(), row.entry.address);
             let data_centre = row.entry.data_centre.clone();
@@ -245,7 +245,7 @@
             (id, address)
         };
         gateway.record_placement(PlacementMessage::new(&choice, &context.segments));
-        gateway.metrics.kept_tokens.inc_by(choice.kept.kept_tokens + choice.kept.moved_tokens);
+        gateway.metrics.kept_tokens.inc_by(choice.transfers.kept_tokens + choice.transfers.moved_tokens);
         let mut flight = SendFlight::new(&gateway, &choice, (endpoint, address), transfers);
         flight.versioned = self.versioned(choice.key);
         self.tried.push(choice.key);
@@ -276,7 +276,7 @@
         let now = gateway.now();
         let capacity = gateway.table().share_capacity(request, now);
         let Some(capacity) = capacity else {
-            let blocked = gateway.table().blocked(request, now);
+            let blocked = gateway.table().count_blocked(request, now);
             log::info!(request = self.context.id_text(), service = request.service, blocked:%;
                 "request.unplaced");
             return None;
@@ -285,7 +285,7 @@
         Some(match verdict {
             ShareVerdict::Wait(next_at) => PlaceResult::WaitForShare(next_at),
             ShareVerdict::Refuse(return_delay_millis) => {
-                let blocked = gateway.table().blocked(request, now);
+                let blocked = gateway.table().count_blocked(request, now);
                 log::info!(request = self.context.id_text(), service = request.service, blocked:%,
                     own_per_s = capacity.own_per_s, all_per_s = capacity.all_per_s,
                     back_ms = return_delay_millis; "request.limited");
@@ -346,22 +346,23 @@
         let address = |table: &FleetTable, store: Option<EndpointKey>| {
             store.and_then(|store| table.store(store)).map(|row| row.spec.address)
         };
-        if choice.kept.fetches.iter().any(Option::is_some) {
-            let fetches: Vec<_> = choice.kept.fetches.iter().map(|store| address(&table, *store)).collect();
+        if choice.transfers.fetches.iter().any(Option::is_some) {
+            let fetches: Vec<_> =
+                choice.transfers.fetches.iter().map(|store| address(&table, *store)).collect();
             set(&names.fetch_from, format_addresses(&fetches).as_bytes());
-            let wait_micros =
-                choice.expected_micros + (choice.kept.transfer_time_micros * FETCH_TIMEOUT_FACTOR) as u64;
+            let wait_micros = choice.expected_micros
+                + (choice.transfers.transfer_time_micros * FETCH_TIMEOUT_FACTOR) as u64;
             let fetch_deadline = now.after_micros(wait_micros).after_millis(FETCH_TIMEOUT_MARGIN_MILLIS);
             if let Some(clock) = self.gateway.engine_clock_at(fetch_deadline) {
                 set(&names.fetch_until, clock.to_string().as_bytes());
             }
         }
-        if choice.kept.saves.iter().any(Option::is_some) {
-            let saves: Vec<_> = choice.kept.saves.iter().map(|store| address(&table, *store)).collect();
+        if choice.transfers.saves.iter().any(Option::is_some) {
+            let saves: Vec<_> = choice.transfers.saves.iter().map(|store| address(&table, *store)).collect();
             set(&names.save_to, format_addresses(&saves).as_bytes());
-            for (store, segment) in choice.kept.saves.iter().zip(&self.context.segments) {
+            for (store, segment) in choice.transfers.saves.iter().zip(&self.context.segments) {
                 if let Some(row) = store.and_then(|store| table.store_mut(store)) {
-                    row.ask(salted_key(segment.key, choice.salt), segment.tokens, now);
+                    row.record_request(salted_key(segment.key, choice.salt_digest), segment.tokens, now);
                 }
             }
         }
@@ -458,7 +459,7 @@
         let (table, now) = (self.gateway.table(), self.gateway.now());
         table
             .row(flight.key)
-            .is_none_or(|row| !row.has_announced_departure() && !row.rest.is_backing_off(now))
+            .is_none_or(|row| !row.has_announced_departure() && !row.backoff.is_backing_off(now))
     }
 
     fn record_sent(&mut self) {
--- a/crates/gateway/src/requests/flight.rs
+++ b/crates/gateway/src/requests/flight.rs
@@ -53,7 +53,7 @@
             sent_at: gateway.now(),
             expected_micros: choice.expected_micros,
             transfers,
-            transfer_time_micros: choice.kept.transfer_time_micros,
+            transfer_time_micros: choice.transfers.transfer_time_micros,
             is_start_recorded: false,
             head_at: None,
             connection: None,
@@ -94,9 +94,10 @@
             rest_millis: None,
         });
         let mut table = self.gateway.table();
-        let prefill = LoadCount { unread_tokens: self.load.unread_tokens, ..LoadCount::default() };
+        let prefill =
+            LoadCount { pending_prefill_tokens: self.load.pending_prefill_tokens, ..LoadCount::default() };
         table.release(self.key, prefill);
-        self.load.unread_tokens = 0;
+        self.load.pending_prefill_tokens = 0;
         drop(table);
         self.gateway.loads_changed.notify_one();
     }
--- a/crates/gateway/src/requests/quota_queue.rs
+++ b/crates/gateway/src/requests/quota_queue.rs
@@ -50,7 +50,7 @@
     pub(crate) fn sharing_right(&self) -> Option<Arc<ShareRight>> {
         let now = self.now();
         let membership = *self.list_membership();
-        if !membership.holds(now) {
+        if !membership.may_use_share(now) {
             return None;
         }
         let mut cached = self.shares.right.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/gateway/src/requests/request_context.rs
+++ b/crates/gateway/src/requests/request_context.rs
@@ -117,11 +117,11 @@
     /// Returns the inputs of admission; none if the request has no prompt.
     pub(crate) fn admission(&self) -> Option<AdmissionView> {
         (!self.segments.is_empty()).then(|| AdmissionView {
-            received: self.received_at,
-            limit: self.deadline,
+            received_at: self.received_at,
+            answer_deadline: self.deadline,
             objective_millis: self.route.objective_millis,
-            silence_millis: self.route.silence_millis(),
-            rank: self.priority,
+            silence_timeout_millis: self.route.stream_idle_timeout_millis(),
+            priority: self.priority,
         })
     }
 
--- a/crates/gateway/src/requests/request_run.rs
+++ b/crates/gateway/src/requests/request_run.rs
@@ -75,12 +75,12 @@
     fn drop(&mut self) {
         let gateway = &self.gateway;
         let now = gateway.now();
-        gateway.shares.queue().leave(&self.context.service, self.queue_order.number);
+        gateway.shares.queue().remove(&self.context.service, self.queue_order.number);
         let outcome = self.outcome;
         gateway.metrics.answers.get_or_create(&KindLabel::new(outcome)).inc();
         let millis = |moment: Moment| moment.micros_since(self.context.received_at) / MICROS_PER_MILLI;
         let (expected_millis, cached_tokens, candidates) = self.choice.as_ref().map_or((0, 0, 0), |choice| {
-            (choice.expected_micros / MICROS_PER_MILLI, choice.kept.kept_tokens, choice.candidates)
+            (choice.expected_micros / MICROS_PER_MILLI, choice.transfers.kept_tokens, choice.candidates)
         });
         log::info!(
             request = self.context.id_text(),
@@ -96,9 +96,9 @@
             expected_ms = expected_millis,
             prompt = self.context.prompt_tokens,
             kept = cached_tokens,
-            held = self.choice.as_ref().map_or(0, |choice| choice.kept.stored_tokens),
-            saved = self.choice.as_ref().map_or(0, |choice| choice.kept.saves.iter().flatten().count()),
-            moved = self.choice.as_ref().map_or(0, |choice| choice.kept.moved_tokens),
+            held = self.choice.as_ref().map_or(0, |choice| choice.transfers.stored_tokens),
+            saved = self.choice.as_ref().map_or(0, |choice| choice.transfers.saves.iter().flatten().count()),
+            moved = self.choice.as_ref().map_or(0, |choice| choice.transfers.moved_tokens),
             weights = self.choice.as_ref().and_then(|choice| choice.version).unwrap_or(0),
             first_ms = self.first_at.map_or(-1, |at| millis(at) as i64),
             total_ms = millis(now),
@@ -118,9 +118,9 @@
     ) -> Self {
         let queue_order = QueueEntry {
             number: gateway.shares.next_number(),
-            rank: context.priority,
+            priority: context.priority,
             account: context.account.clone().unwrap_or_default(),
-            received: context.received_at,
+            received_at: context.received_at,
             objective_millis: context.route.objective_millis,
         };
         Self {
@@ -170,7 +170,7 @@
         }
         let Some(key) = self.request_key() else { return false };
         let now = self.gateway.now();
-        self.gateway.desk().quarantine.held(key, now).is_some()
+        self.gateway.desk().quarantine.quarantined(key, now).is_some()
     }
 
     /// Waits until evidence that may quarantine the request is evaluated: whether the endpoint of its last
--- a/crates/gateway/src/rollout/rollout_tracker.rs
+++ b/crates/gateway/src/rollout/rollout_tracker.rs
@@ -157,8 +157,8 @@
         for (key, counts) in reported {
             match forward {
                 ForwardScope::Nobody => {}
-                ForwardScope::Remote => rollouts.sums.far.add(*key, *counts),
-                ForwardScope::Relayed => rollouts.sums.passed.add(*key, *counts),
+                ForwardScope::Remote => rollouts.sums.remote.add(*key, *counts),
+                ForwardScope::Relayed => rollouts.sums.relayed.add(*key, *counts),
             }
         }
         let suspected = rollouts.add(reported);
--- a/crates/gateway/src/rollout/versioned_send.rs
+++ b/crates/gateway/src/rollout/versioned_send.rs
@@ -24,7 +24,7 @@
             route,
             is_target: *row.entry.version == *target,
             is_cold: now < row.cold_until,
-            slowdown: row.pace(),
+            slowdown: row.slowdown(),
             time_factor: None,
         }
     }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -263,7 +263,7 @@
         }
         let progress = match &update.body {
             UpdateBody::Unchanged => ReassemblyProgress::Whole(Vec::new()),
-            UpdateBody::Piece(fragment) => self.reassembly.take(vm, update.from, update.to, fragment),
+            UpdateBody::Piece(fragment) => self.reassembly.add_fragment(vm, update.from, update.to, fragment),
             UpdateBody::TooLarge => ReassemblyProgress::Unreadable,
         };
         match progress {
--- a/crates/gateway/src/store/lease_keeper.rs
+++ b/crates/gateway/src/store/lease_keeper.rs
@@ -247,7 +247,7 @@
         }
         let own = self.own_holder(lease.id);
         let holder = view.holder.as_ref().filter(|(_, position)| Some(position.era) == lease.era);
-        let ownership = holder.map(|(holder, position)| (holder.standing(&own), *position));
+        let ownership = holder.map(|(holder, position)| (holder.ownership(&own), *position));
         let takeover_delay_millis = self.takeover_delay_millis();
         let (expected_position, delay_millis) = match ownership {
             Some((LeaseOwnership::Own, position)) => {
