--- a/crates/decide/src/admit/placement.rs
+++ b/crates/decide/src/admit/placement.rs
@@ -317,7 +317,7 @@
 
 fn transfer_terms(row: &EndpointRow, request: &PlacementRequest<'_>) -> TransferTerms {
     TransferTerms {
-        read_micros: PREFILL_MICROS_PER_TOKEN * row.slowdown(),
+        prefill_micros: PREFILL_MICROS_PER_TOKEN * row.slowdown(),
         objective_micros: (request.objective_millis * MICROS_PER_MILLI) as f64,
     }
 }
@@ -369,10 +369,11 @@
     let row = candidate.row;
     let load = row.load(now);
     let terms = transfer_terms(row, request);
-    let token_micros = terms.read_micros;
+    let token_micros = terms.prefill_micros;
     let cached_count = row.cached_segments.leading(request.segments, candidate.salt_digest);
     let plan = plan_transfers(candidate.transfers, request.segments, cached_count, terms);
-    let available_tokens = (plan.kept_tokens + plan.moved_tokens).min(u64::from(request.prompt_tokens));
+    let available_tokens =
+        (plan.cached_tokens + plan.transferred_tokens).min(u64::from(request.prompt_tokens));
     let prefill_tokens = u64::from(request.prompt_tokens) - available_tokens;
     let output_tokens =
         if request.output_tokens == 0 { DEFAULT_OUTPUT_TOKENS } else { request.output_tokens };
--- a/crates/decide/src/fleet/fleet_loads.rs
+++ b/crates/decide/src/fleet/fleet_loads.rs
@@ -11,7 +11,7 @@
 
 impl FleetTable {
     /// Counts work sent to an endpoint, and records that it caches `segments` from now on.
-    pub fn take(&mut self, key: EndpointKey, load: LoadCount, segments: &[PromptSegment], salt: u64) {
+    pub fn reserve(&mut self, key: EndpointKey, load: LoadCount, segments: &[PromptSegment], salt: u64) {
         self.record_segments(key, segments, salt);
         if let Some(row) = self.rows.get_mut(&key) {
             row.own.add(load);
--- a/crates/decide/src/kept/store_row.rs
+++ b/crates/decide/src/kept/store_row.rs
@@ -291,7 +291,7 @@
     }
 
     /// Records that a transfer of `tokens` to an engine begins.
-    pub fn take(&mut self, tokens: u64, data_centre: &str, now: Moment) {
+    pub fn begin_transfer(&mut self, tokens: u64, data_centre: &str, now: Moment) {
         let transfer_micros = self.link_micros(tokens, data_centre, now) as u64;
         self.own_transfers_end_at = self.own_transfers_end_at.max(now).after_micros(transfer_micros);
     }
--- a/crates/decide/src/kept/transfer_plan.rs
+++ b/crates/decide/src/kept/transfer_plan.rs
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TransferPlan {
     /// Tokens estimated to be cached there.
-    pub kept_tokens: u64,
+    pub cached_tokens: u64,
     /// Further tokens that are transferred there.
-    pub moved_tokens: u64,
+    pub transferred_tokens: u64,
     /// Tokens beyond the cached ones that stores contain, transferred or not.
     pub stored_tokens: u64,
     /// Tokens of shared segments that are prefilled there all the same.
@@ -41,13 +41,13 @@
 
 impl TransferPlan {
     /// Returns the stores that segments are fetched from, with the tokens of each segment.
-    pub fn moves<'a>(
+    pub fn store_transfers<'a>(
         &'a self,
         segments: &'a [PromptSegment],
     ) -> impl Iterator<Item = (EndpointKey, u64)> + 'a {
         let mut tokens_before = 0;
         self.fetches.iter().zip(segments).filter_map(move |(store, segment)| {
-            let is_cached = tokens_before < self.kept_tokens;
+            let is_cached = tokens_before < self.cached_tokens;
             tokens_before += u64::from(segment.tokens);
             store.filter(|_| !is_cached).map(|store| (store, u64::from(segment.tokens)))
         })
@@ -99,7 +99,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TransferTerms {
     /// Time in which the engine prefills a token, in microseconds.
-    pub read_micros: f64,
+    pub prefill_micros: f64,
     /// The request's latency objective, in microseconds.
     pub objective_micros: f64,
 }
@@ -113,7 +113,7 @@
     terms: TransferTerms,
 ) -> TransferPlan {
     let mut plan = TransferPlan {
-        kept_tokens: segments[..cached_count].iter().map(|segment| u64::from(segment.tokens)).sum(),
+        cached_tokens: segments[..cached_count].iter().map(|segment| u64::from(segment.tokens)).sum(),
         ..TransferPlan::default()
     };
     let mut is_unbroken = true;
@@ -123,7 +123,7 @@
         plan.stored_tokens += if fastest.is_some() { tokens } else { 0 };
         is_unbroken &= is_transferred(*fastest, segment, terms);
         if let Some((_, micros)) = fastest.filter(|_| is_unbroken) {
-            plan.moved_tokens += tokens;
+            plan.transferred_tokens += tokens;
             plan.transfer_time_micros += micros;
         } else if index < shared_count {
             plan.recomputed_tokens += tokens;
@@ -158,7 +158,7 @@
 }
 
 fn is_worth_transferring(transfer_time_micros: f64, tokens: u64, terms: TransferTerms) -> bool {
-    let recompute_micros = tokens as f64 * terms.read_micros;
+    let recompute_micros = tokens as f64 * terms.prefill_micros;
     let priced_micros = recompute_micros + tokens as f64 * RECOMPUTE_MICROS_PER_TOKEN;
     transfer_time_micros < recompute_micros
         || transfer_time_micros < priced_micros.min(terms.objective_micros * LONG_TRANSFER_FRACTION)
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -177,7 +177,7 @@
                 AdmissionVerdict::Wait if admits => waiting_prompts.push_back(received),
                 AdmissionVerdict::Refuse(_) if admits => totals.refused += 1,
                 _ => {
-                    table.take(choice.key, choice.load, &[], 0);
+                    table.reserve(choice.key, choice.load, &[], 0);
                     let engine = (0..ENGINES).find(|engine| key(*engine) == choice.key).unwrap();
                     let run = EngineRun {
                         received_millis: received,
--- a/crates/decide/tests/engine_starts.rs
+++ b/crates/decide/tests/engine_starts.rs
@@ -91,7 +91,7 @@
 fn load_and_cache_of_the_earlier_incarnation_do_not_carry_over_to_the_next_one() {
     let load = LoadCount { running: 3, pending_prefill_tokens: 40, memory_tokens: 90 };
     let table = restarted(|table| {
-        table.take(key(1_000), load, &SEGMENTS, 7);
+        table.reserve(key(1_000), load, &SEGMENTS, 7);
         table.apply_peer_loads(LoadSource::Vm(VmKey::of("a")), &[(key(1_000), load)], at(5));
     });
     let row = table.row(key(2_000)).unwrap();
@@ -130,7 +130,7 @@
 fn an_entry_of_the_same_incarnation_retains_its_state() {
     let mut table = FleetTable::default();
     table.apply_entry(entry(Some(1_000), 1), at(0));
-    table.take(key(1_000), LoadCount { running: 1, ..LoadCount::default() }, &SEGMENTS, 7);
+    table.reserve(key(1_000), LoadCount { running: 1, ..LoadCount::default() }, &SEGMENTS, 7);
     assert!(!table.apply_entry(entry(Some(1_000), 1), at(1)));
     assert_eq!(table.row(key(1_000)).unwrap().own.running, 1);
 }
--- a/crates/decide/tests/fleet_table.rs
+++ b/crates/decide/tests/fleet_table.rs
@@ -137,7 +137,7 @@
     let mut table = FleetTable::default();
     table.apply_entry(entry("i-1", 1), Moment(0));
     let (key, local, remote) = (EndpointKey::of("i-1"), VmKey::of("near"), VmKey::of("far"));
-    table.take(key, running(1), &[], 0);
+    table.reserve(key, running(1), &[], 0);
     table.apply_peer_loads(LoadSource::Vm(local), &[(key, running(2))], at(0));
     table.apply_peer_loads(LoadSource::Vm(remote), &[(key, running(4))], at(0));
     table.apply_peer_loads(LoadSource::data_centre("dc-b"), &[(key, running(8))], at(0));
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -101,7 +101,7 @@
 #[test]
 fn the_engine_with_less_queued_work_is_chosen_whichever_vm_sent_it() {
     let mut table = two_engines();
-    table.take(key("i-1"), load(5_000, 5_000), &[], 0);
+    table.reserve(key("i-1"), load(5_000, 5_000), &[], 0);
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
     table.apply_peer_loads(LoadSource::Vm(VmKey::of("vm-2")), &[(key("i-2"), load(9_000, 9_000))], NOW);
     assert_eq!(chosen(&table, &request()).key, key("i-1"));
@@ -113,14 +113,14 @@
 #[test]
 fn an_engine_with_free_capacity_precedes_one_with_a_shorter_queue() {
     let mut table = two_engines();
-    table.take(key("i-1"), load(0, MEMORY_TOKENS - 5_000), &[], 0);
-    table.take(key("i-2"), load(9_000, 9_000), &[], 0);
+    table.reserve(key("i-1"), load(0, MEMORY_TOKENS - 5_000), &[], 0);
+    table.reserve(key("i-2"), load(9_000, 9_000), &[], 0);
     let choice = chosen(&table, &request());
     assert_eq!((choice.key, choice.excess_tokens), (key("i-2"), 0));
     // A request that may fill more of the memory finds free capacity there.
     let choice = chosen(&table, &PlacementRequest { memory_fraction: 1.15, ..request() });
     assert_eq!((choice.key, choice.excess_tokens), (key("i-1"), 0));
-    table.take(key("i-2"), load(0, MEMORY_TOKENS), &[], 0);
+    table.reserve(key("i-2"), load(0, MEMORY_TOKENS), &[], 0);
     assert_eq!(chosen(&table, &request()).excess_tokens, 9_010 - 5_000);
 }
 
@@ -140,11 +140,11 @@
 fn a_broken_endpoint_is_tried_again_by_one_request_at_a_time() {
     let mut table = two_engines();
     table.record_outcome(key("i-1"), SendOutcome::Broken, NOW);
-    table.take(key("i-2"), load(20_000, 20_000), &[], 0);
+    table.reserve(key("i-2"), load(20_000, 20_000), &[], 0);
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
     let later = NOW.after_millis(800);
     assert_eq!(place(&table, &request(), later).unwrap().key, key("i-1"));
-    table.take(key("i-1"), load(0, 0), &[], 0);
+    table.reserve(key("i-1"), load(0, 0), &[], 0);
     assert_eq!(place(&table, &request(), later).unwrap().key, key("i-2"));
 }
 
@@ -184,7 +184,7 @@
     // The bound is near.
     assert!(place(&table, &request, NOW.after_millis(1_700)).is_none());
     // Much work is queued there before it.
-    table.take(key("i-1"), load(45_000, 20_000), &[], 0);
+    table.reserve(key("i-1"), load(45_000, 20_000), &[], 0);
     assert!(place(&table, &request, NOW).is_none());
 }
 
@@ -192,9 +192,9 @@
 fn a_request_stays_in_its_data_centre_unless_waiting_costs_more() {
     let mut table = table(&[entry("i-1", "dc-a", 1), entry("i-2", "dc-b", 1)]);
     assert_eq!(chosen(&table, &request()).key, key("i-1"));
-    table.take(key("i-1"), load(1_000, 1_000), &[], 0);
+    table.reserve(key("i-1"), load(1_000, 1_000), &[], 0);
     assert_eq!(chosen(&table, &request()).key, key("i-1"));
-    table.take(key("i-1"), load(9_000, 9_000), &[], 0);
+    table.reserve(key("i-1"), load(9_000, 9_000), &[], 0);
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
 }
 
@@ -214,16 +214,16 @@
         ..CacheUpdate::default()
     };
     let before = chosen(&table, &request());
-    assert_eq!((before.transfers.moved_tokens, before.load.pending_prefill_tokens), (0, 9_000));
+    assert_eq!((before.transfers.transferred_tokens, before.load.pending_prefill_tokens), (0, 9_000));
     // Segments that no store contains are to be saved, except the request's own one.
     assert_eq!(before.transfers.saves, [None, None, None], "no update received from the store yet");
     table.store_mut(key("kept")).unwrap().replace(&update, now.after_millis(1_000));
     let after = chosen(&table, &request());
-    assert_eq!((after.transfers.moved_tokens, after.load.pending_prefill_tokens), (7_500, 1_500));
+    assert_eq!((after.transfers.transferred_tokens, after.load.pending_prefill_tokens), (7_500, 1_500));
     assert_eq!(after.transfers.fetches, [Some(key("kept")), Some(key("kept")), None]);
     assert!(after.expected_micros < before.expected_micros);
     let isolated = chosen(&table, &PlacementRequest { isolation_scope: "account:one", ..request() });
-    assert_eq!(isolated.transfers.moved_tokens, 0);
+    assert_eq!(isolated.transfers.transferred_tokens, 0);
     assert_eq!(isolated.transfers.saves, [Some(key("kept")), Some(key("kept")), None]);
 }
 
@@ -239,7 +239,7 @@
     let update = CacheUpdate { incarnation: 1, changes: vec![second_segment], ..CacheUpdate::default() };
     table.store_mut(key("kept")).unwrap().replace(&update, NOW.after_millis(1_000));
     let choice = chosen(&table, &request());
-    assert_eq!((choice.transfers.moved_tokens, choice.transfers.stored_tokens), (0, 5_000));
+    assert_eq!((choice.transfers.transferred_tokens, choice.transfers.stored_tokens), (0, 5_000));
     assert_eq!(choice.transfers.fetches, [None, None, None]);
 }
 
@@ -249,7 +249,7 @@
     long_objective = { 1_200, 7_500 },
     short_objective = { 500, 0 },
 )]
-fn a_transfer_may_take_a_fraction_of_the_objective(objective_millis: u64, moved_tokens: u64) {
+fn a_transfer_may_take_a_fraction_of_the_objective(objective_millis: u64, transferred_tokens: u64) {
     let mut table = two_engines();
     let change = |segment: u64, tokens| CacheChange {
         cache_salt: "shared.m.1".to_owned(),
@@ -264,7 +264,7 @@
     // Transfers of other VMs keep the link busy.
     store.set_peer_transfers(LoadSource::Vm(VmKey(7)), 230_000, None, NOW);
     let choice = chosen(&table, &PlacementRequest { objective_millis, ..request() });
-    assert_eq!(choice.transfers.moved_tokens, moved_tokens);
+    assert_eq!(choice.transfers.transferred_tokens, transferred_tokens);
 }
 
 #[test]
@@ -272,16 +272,16 @@
     let mut table = two_engines();
     let salt = spanfold_decide::short_digest("shared.m.1");
     table.record_segments(key("i-2"), &SEGMENTS[..2], salt);
-    table.take(key("i-2"), load(3_000, 3_000), &[], 0);
+    table.reserve(key("i-2"), load(3_000, 3_000), &[], 0);
     let choice = chosen(&table, &request());
-    assert_eq!((choice.key, choice.transfers.kept_tokens), (key("i-2"), 7_500));
+    assert_eq!((choice.key, choice.transfers.cached_tokens), (key("i-2"), 7_500));
 }
 
 #[test]
 fn a_cordoned_engine_is_skipped() {
     let mut table = two_engines();
     table.cordon_until(key("i-1"), NOW.after_millis(500));
-    table.take(key("i-2"), load(9_000, 9_000), &[], 0);
+    table.reserve(key("i-2"), load(9_000, 9_000), &[], 0);
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
     assert_eq!(place(&table, &request(), NOW.after_millis(600)).unwrap().key, key("i-1"));
 }
@@ -289,7 +289,7 @@
 #[test]
 fn an_unreachable_data_centre_is_skipped_before_connections_fail() {
     let mut table = table(&[entry("i-1", "dc-a", 1), entry("i-2", "dc-b", 1)]);
-    table.take(key("i-1"), load(9_000, 9_000), &[], 0);
+    table.reserve(key("i-1"), load(9_000, 9_000), &[], 0);
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
     assert_eq!(
         chosen(&table, &PlacementRequest { unreachable_data_centres: &["dc-b"], ..request() }).key,
--- a/crates/decide/tests/reported_health.rs
+++ b/crates/decide/tests/reported_health.rs
@@ -168,7 +168,7 @@
             if random.random::<f64>() < 4.5 * STEP_MILLIS as f64 / 1_000.0 {
                 // Loads are not reported here: a VM uses its own loads and a random start.
                 let engine = choose_from(table, random.random_range(0..ENGINES), now);
-                table.take(key(engine), load, &[], 0);
+                table.reserve(key(engine), load, &[], 0);
                 let taken_millis = if engine < UNREACHABLE_ENGINES { CONNECT_FAILURE_MILLIS } else { 100 };
                 sends.entry(millis + taken_millis).or_default().push((sender, engine));
                 all += 1;
--- a/crates/decide/tests/table_memory.rs
+++ b/crates/decide/tests/table_memory.rs
@@ -53,7 +53,7 @@
     let segments: Vec<_> = (0..6).map(|number| PromptSegment { key: number, tokens: 500 }).collect();
     let load = LoadCount { running: 1, pending_prefill_tokens: 100, memory_tokens: 200 };
     for (number, key) in keys.iter().enumerate() {
-        table.take(*key, load, &segments, number as u64);
+        table.reserve(*key, load, &segments, number as u64);
         let source = LoadSource::Vm(VmKey(number as u64 % 7));
         table.apply_peer_loads(source, &[(*key, load)], Moment(2));
         table.release(*key, load);
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -83,7 +83,7 @@
     }
 
     /// Waits until a moment, also if the VM is suspended meanwhile.
-    pub(crate) async fn until(&self, moment: Moment) {
+    pub(crate) async fn wait_until(&self, moment: Moment) {
         loop {
             // Registered before the clock is read, so that no jump in between is missed.
             let mut clock_jumped = pin!(self.clock_jumped.notified());
@@ -99,7 +99,7 @@
     }
 
     /// Returns the result of `future`, or an error if `moment` passes first.
-    pub(crate) async fn within<T>(
+    pub(crate) async fn complete_before<T>(
         &self,
         moment: Moment,
         future: impl Future<Output = T>,
@@ -107,7 +107,7 @@
         tokio::select! {
             biased;
             result = future => Ok(result),
-            () = self.until(moment) => Err(DeadlinePassed),
+            () = self.wait_until(moment) => Err(DeadlinePassed),
         }
     }
 
@@ -118,7 +118,7 @@
         if self.now() < deadline {
             let is_current = stale_until.wait_for(|until| *until == Moment(0));
             // The request proceeds with or without an answer.
-            let _ = self.within(deadline, is_current).await;
+            let _ = self.complete_before(deadline, is_current).await;
         }
     }
 
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -23,9 +23,9 @@
     /// Calls to engines and decoders of their answers.
     pub engine: EngineDialect,
     /// Calls to cache stores and decoders of their answers.
-    pub kept: CacheDialect,
+    pub cache: CacheDialect,
     /// Decoders of the store's values and of headers.
-    pub decode: ValueDialect,
+    pub decoders: ValueDialect,
     /// Path of the balancer's readiness check.
     pub readiness_path: &'static str,
 }
@@ -101,7 +101,7 @@
     /// The items, in the order of their keys.
     pub items: Vec<StoreItem>,
     /// Whether more follow.
-    pub more: bool,
+    pub has_more: bool,
     /// Position of the store at the time of the listing.
     pub position: StorePosition,
 }
@@ -178,25 +178,25 @@
     /// Lists the items under a prefix, after a key if one is given.
     pub range: fn(&str, Option<&str>) -> WireCall,
     /// Decodes a listing.
-    pub read_range: StoreDecoder<RangePage>,
+    pub decode_range: StoreDecoder<RangePage>,
     /// Waits for changes under a prefix after a position, with a limit in milliseconds.
     pub watch: fn(&str, StorePosition, u64) -> WireCall,
     /// Decodes the answer to a watch.
-    pub read_watch: StoreDecoder<WatchPage>,
+    pub decode_watch: StoreDecoder<WatchPage>,
     /// Runs a transaction.
     pub transact: fn(&StoreTransaction) -> WireCall,
     /// Decodes the position of a transaction in the store's history.
-    pub read_transact: StoreDecoder<StorePosition>,
+    pub decode_transact: StoreDecoder<StorePosition>,
     /// Requests a lease with a lifetime in milliseconds.
     pub grant: fn(u64) -> WireCall,
     /// Renews a lease.
     pub renew: fn(u64) -> WireCall,
     /// Revokes a lease.
-    pub end: fn(u64) -> WireCall,
+    pub revoke: fn(u64) -> WireCall,
     /// Decodes a grant.
-    pub read_grant: StoreDecoder<LeaseGrant>,
+    pub decode_grant: StoreDecoder<LeaseGrant>,
     /// Decodes a renewal: the remaining lifetime of the lease in milliseconds.
-    pub read_renew: StoreDecoder<u64>,
+    pub decode_renew: StoreDecoder<u64>,
 }
 
 /// Order to an engine to load a weight version.
@@ -220,7 +220,7 @@
     /// The load has started.
     Accepted,
     /// The engine has these weights already.
-    Holds,
+    AlreadyLoaded,
     /// Another load is in progress, or the count of orders differs.
     Conflict,
     /// The engine is not the addressed one, or refuses the order; contains the answer's status.
@@ -233,11 +233,11 @@
     /// Requests an engine's state.
     pub report: fn() -> WireCall,
     /// Decodes an engine's state.
-    pub read_report: fn(&[u8]) -> Result<EngineReport, EntryError>,
+    pub decode_report: fn(&[u8]) -> Result<EngineReport, EntryError>,
     /// Sends an order.
     pub order: fn(&WeightOrder) -> WireCall,
     /// Decodes the answer to an order from its status.
-    pub read_order: fn(u16) -> OrderOutcome,
+    pub decode_order: fn(u16) -> OrderOutcome,
 }
 
 /// Calls to cache stores and decoders of their answers.
@@ -246,15 +246,15 @@
     /// Requests changes from a position on: a long poll with a maximum duration in milliseconds.
     pub events: fn(u64, u64) -> WireCall,
     /// Decodes changes.
-    pub read_events: fn(&[u8]) -> Result<CacheUpdate, String>,
+    pub decode_events: fn(&[u8]) -> Result<CacheUpdate, String>,
     /// Requests the full cache index.
     pub list: fn() -> WireCall,
     /// Decodes the full cache index.
-    pub read_list: fn(&[u8]) -> Result<CacheUpdate, String>,
+    pub decode_list: fn(&[u8]) -> Result<CacheUpdate, String>,
     /// Releases segments if the store's incarnation is still the given one.
     ///
     /// Each segment is given with its cache salt.
-    pub free: fn(&[(String, String)], u64) -> WireCall,
+    pub release: fn(&[(String, String)], u64) -> WireCall,
     /// Encodes one optional address for each segment of a prompt.
     pub segment_addresses: fn(&[Option<SocketAddr>]) -> String,
 }
@@ -273,10 +273,10 @@
     State(String),
     /// The start time is not a whole number of milliseconds.
     #[error("the start time is not a whole number of milliseconds")]
-    Born,
+    InvalidStart,
     /// The remaining cold time is negative.
     #[error("the remaining cold time is negative")]
-    Cold,
+    NegativeColdTime,
 }
 
 impl EntryError {
@@ -284,15 +284,15 @@
     ///
     /// # Examples
     /// ```
-    /// assert_eq!(spanfold_gateway::EntryError::Born.kind(), "born");
+    /// assert_eq!(spanfold_gateway::EntryError::InvalidStart.kind(), "born");
     /// ```
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Bytes(_) => "bytes",
             Self::Field(_) => "field",
             Self::State(_) => "state",
-            Self::Born => "born",
-            Self::Cold => "cold",
+            Self::InvalidStart => "born",
+            Self::NegativeColdTime => "cold",
         }
     }
 }
--- a/crates/gateway/src/endpoints/crash_detector.rs
+++ b/crates/gateway/src/endpoints/crash_detector.rs
@@ -117,7 +117,7 @@
         send: BrokenSend,
     ) -> Option<ProbeCompletion> {
         let key = send.crash.start;
-        let (completion, is_due) = self.ends.add(endpoint, send, self.now())?;
+        let (completion, is_due) = self.crash_detector.add(endpoint, send, self.now())?;
         if is_due {
             tokio::spawn(probe(Arc::clone(self), key, endpoint.address));
         }
@@ -126,7 +126,7 @@
 
     /// Records that an endpoint crashed, as `sign` shows: its broken sends are evidence.
     pub(crate) fn confirm_crash(&self, endpoint: EndpointKey, sign: &'static str) {
-        let Some(suspicion) = self.ends.take(endpoint, self.now()) else { return };
+        let Some(suspicion) = self.crash_detector.take(endpoint, self.now()) else { return };
         log::warn!(endpoint = suspicion.endpoint.id.as_str(), sends = suspicion.sends.len(), sign;
             "endpoint.ended");
         for send in &suspicion.sends {
@@ -138,7 +138,9 @@
 
     /// Records that `started` begins at an address, so that any other endpoint there has crashed.
     pub(crate) fn record_started_at(&self, address: SocketAddr, started: EndpointKey) {
-        for endpoint in self.ends.endpoints_at(address).into_iter().filter(|endpoint| *endpoint != started) {
+        for endpoint in
+            self.crash_detector.endpoints_at(address).into_iter().filter(|endpoint| *endpoint != started)
+        {
             self.confirm_crash(endpoint, "another one has its address");
         }
     }
@@ -153,7 +155,7 @@
             return;
         }
     }
-    gateway.ends.record_alive(endpoint);
+    gateway.crash_detector.record_alive(endpoint);
 }
 
 /// Converts microseconds to milliseconds, for logs.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -96,11 +96,11 @@
     /// Requests that crash endpoints.
     pub quarantine_tracker: Mutex<QuarantineTracker>,
     /// This VM's share of endpoints that take few requests, and its queue.
-    pub shares: QuotaQueue,
+    pub quota_queue: QuotaQueue,
     /// Bytes buffered for callers that send or read slowly.
     pub memory: MemoryLimiter,
     /// Messages of other VMs that this VM has relayed.
-    pub relayed: RelayedUpdates,
+    pub relay_history: RelayedUpdates,
     /// Rollouts of services to other versions.
     pub rollouts: Mutex<RolloutTable>,
     /// Statements of endpoints in answers, to send to the VMs of this data centre.
@@ -120,9 +120,9 @@
     /// Evidence and quarantines of other data centres, to relay locally while this VM leads.
     pub relayed_quarantine_messages: PendingMessages<QuarantineMessage>,
     /// Broken sends, until it is determined whether their endpoints crashed.
-    pub ends: CrashDetector,
+    pub crash_detector: CrashDetector,
     /// Snapshots of all endpoints that this VM serves to others.
-    pub copies: SnapshotCache,
+    pub snapshot_cache: SnapshotCache,
     /// Position of the store up to which all changes are applied; the default before the first listing.
     applied: Mutex<StorePosition>,
     /// Newest known era of the store: it counts restorations from a backup.
@@ -186,9 +186,9 @@
             remote_send_reports: PendingMessages::default(),
             relayed_send_reports: PendingMessages::default(),
             quarantine_tracker: Mutex::default(),
-            shares: QuotaQueue::default(),
+            quota_queue: QuotaQueue::default(),
             memory,
-            relayed: RelayedUpdates::default(),
+            relay_history: RelayedUpdates::default(),
             rollouts: Mutex::default(),
             local_answers: PendingMessages::default(),
             remote_answers: PendingMessages::default(),
@@ -198,8 +198,8 @@
             local_quarantine_messages: PendingMessages::default(),
             remote_quarantine_messages: PendingMessages::default(),
             relayed_quarantine_messages: PendingMessages::default(),
-            ends: CrashDetector::default(),
-            copies: SnapshotCache::default(),
+            crash_detector: CrashDetector::default(),
+            snapshot_cache: SnapshotCache::default(),
             applied: Mutex::default(),
             era: StoreEra::default(),
             peer_key: RwLock::default(),
--- a/crates/gateway/src/gateway_daemon.rs
+++ b/crates/gateway/src/gateway_daemon.rs
@@ -211,7 +211,7 @@
         for key in removed {
             gateway.pool.close_idle(key);
         }
-        gateway.shares.queue().sweep(now);
+        gateway.quota_queue.queue().sweep(now);
         gateway.pool.sweep();
         gateway.peers().sweep(now);
     }
--- a/crates/gateway/src/memory/body_reader.rs
+++ b/crates/gateway/src/memory/body_reader.rs
@@ -29,7 +29,7 @@
     loop {
         let frame = tokio::select! {
             frame = body.frame() => frame,
-            () = reservation.until_evicted() => return Err(BodyFault::NoMemory),
+            () = reservation.wait_until_evicted() => return Err(BodyFault::NoMemory),
         };
         let Some(frame) = frame else { break };
         let Ok(chunk) = frame.map_err(|_error| BodyFault::Broken)?.into_data() else { continue };
--- a/crates/gateway/src/memory/chunk_channel.rs
+++ b/crates/gateway/src/memory/chunk_channel.rs
@@ -71,14 +71,14 @@
             biased;
             permit = Arc::clone(&self.free_bytes).acquire_many_owned(permit_count) => permit.ok(),
             () = self.chunks.closed() => return Err(ChunkFault::CallerLeft),
-            () = self.reservation.until_evicted() => return Err(ChunkFault::NoMemory),
+            () = self.reservation.wait_until_evicted() => return Err(ChunkFault::NoMemory),
         };
         self.reservation.grow(bytes);
         let waiting = WaitingChunk { chunk: Ok(Frame::data(content)), bytes, _permit: permit };
         tokio::select! {
             biased;
             sent = self.chunks.send(waiting) => sent.map_err(|_gone| ChunkFault::CallerLeft),
-            () = self.reservation.until_evicted() => Err(ChunkFault::NoMemory),
+            () = self.reservation.wait_until_evicted() => Err(ChunkFault::NoMemory),
         }
     }
 
--- a/crates/gateway/src/memory/memory_limiter.rs
+++ b/crates/gateway/src/memory/memory_limiter.rs
@@ -84,7 +84,7 @@
     }
 
     /// Returns once it was evicted.
-    pub(crate) async fn until_evicted(&self) {
+    pub(crate) async fn wait_until_evicted(&self) {
         let mut evicted = self.evicted.clone();
         // Without a sender it was evicted or cannot be any more: what is awaited beside this goes on.
         if evicted.wait_for(|is_evicted| *is_evicted).await.is_err() {
--- a/crates/gateway/src/orders/order_task.rs
+++ b/crates/gateway/src/orders/order_task.rs
@@ -69,7 +69,7 @@
     const fn label(self) -> &'static str {
         match self {
             Self::Answered(OrderOutcome::Accepted) => "accepted",
-            Self::Answered(OrderOutcome::Holds) => "holds",
+            Self::Answered(OrderOutcome::AlreadyLoaded) => "holds",
             Self::Answered(OrderOutcome::Conflict) => "conflict",
             Self::Answered(OrderOutcome::Refused(_)) => "refused",
             Self::Unanswered => "unanswered",
@@ -163,7 +163,7 @@
         self.scheduler.record_reached(key);
         match answer {
             OrderResult::Answered(OrderOutcome::Accepted) => {}
-            OrderResult::Answered(OrderOutcome::Holds) => {
+            OrderResult::Answered(OrderOutcome::AlreadyLoaded) => {
                 gateway.table().set_weights(key, &BTreeMap::from([(model, version)]), gateway.now());
             }
             _ => self.scheduler.repeat(key, version, retry_at),
@@ -217,7 +217,7 @@
     }
     if report.weights.get(model).is_some_and(|loaded| *loaded >= version) {
         gateway.table().set_weights(key, &report.weights, gateway.now());
-        return OrderResult::Answered(OrderOutcome::Holds);
+        return OrderResult::Answered(OrderOutcome::AlreadyLoaded);
     }
     let order_right = *right.borrow();
     let now = gateway.now();
@@ -237,7 +237,7 @@
     let call = (gateway.dialect.engine.order)(&order);
     let answer = call_engine(gateway, key, &call, order_right.until).await;
     answer.map_or(OrderResult::Unanswered, |(status, _)| {
-        OrderResult::Answered((gateway.dialect.engine.read_order)(status))
+        OrderResult::Answered((gateway.dialect.engine.decode_order)(status))
     })
 }
 
@@ -248,7 +248,7 @@
     if status != 200 {
         return None;
     }
-    match (gateway.dialect.engine.read_report)(&body) {
+    match (gateway.dialect.engine.decode_report)(&body) {
         Ok(report) if is_other_incarnation(gateway, key, &report) => {
             log::info!(path = "report"; "engine.restarted");
             None
@@ -298,7 +298,7 @@
         Ok(reply) => {
             // A refusal may come from another endpoint at the same address.
             if let Some(status) = StatusCode::from_u16(reply.status).ok().filter(StatusCode::is_success) {
-                let facts = (gateway.dialect.decode.answer)(status, &reply.headers);
+                let facts = (gateway.dialect.decoders.answer)(status, &reply.headers);
                 gateway.observe_answer(&AnswerSource { key, request: &call.path, sent_at }, &facts);
             }
             Some((reply.status, reply.body))
--- a/crates/gateway/src/orders/publication_task.rs
+++ b/crates/gateway/src/orders/publication_task.rs
@@ -104,7 +104,7 @@
         }
         let dialect = self.gateway.dialect.store;
         let call = (dialect.range)(PUBLICATION_PREFIX, None);
-        let Some(Ok(page)) = self.link.call("list", &call, dialect.read_range).await else { return false };
+        let Some(Ok(page)) = self.link.call("list", &call, dialect.decode_range).await else { return false };
         let stored: BTreeMap<_, _> = page.items.iter().filter_map(read_record).collect();
         let clock = self.gateway.engine_clock_at(self.gateway.now()).unwrap_or(0);
         for row in stored.values() {
@@ -146,7 +146,7 @@
         };
         let dialect = self.gateway.dialect.store;
         let call = (dialect.transact)(&write);
-        let Some(Ok(position)) = self.link.call("write", &call, dialect.read_transact).await else {
+        let Some(Ok(position)) = self.link.call("write", &call, dialect.decode_transact).await else {
             return false;
         };
         let newest = record.namings.last().map_or(0, |row| row.version);
--- a/crates/gateway/src/orders/release_task.rs
+++ b/crates/gateway/src/orders/release_task.rs
@@ -104,10 +104,10 @@
     version: u64,
 ) -> bool {
     let mut link = CallLink::new(spec.address);
-    let dialect = gateway.dialect.kept;
+    let dialect = gateway.dialect.cache;
     let deadline = Instant::now() + CALL_TIMEOUT;
     let update = match link.call_large(&(dialect.list)(), deadline).await {
-        Ok(CallReply { status: 200, body, .. }) => match (dialect.read_list)(&body) {
+        Ok(CallReply { status: 200, body, .. }) => match (dialect.decode_list)(&body) {
             Ok(update) => update,
             Err(cause) => {
                 log::warn!(store = key.0, cause = cause.as_str(); "store.unreadable");
@@ -126,7 +126,7 @@
     let segments = outdated_segments(&update, model, version);
     let mut is_released = true;
     for batch in segments.chunks(MAX_SEGMENTS_PER_CALL) {
-        let call = (dialect.free)(batch, update.incarnation);
+        let call = (dialect.release)(batch, update.incarnation);
         let answer = link.call(&call, Instant::now() + CALL_TIMEOUT).await;
         is_released &= matches!(answer, Ok(CallReply { status: 200, .. }));
         let outcome = answer.map_or_else(|cause| cause.to_string(), |reply| reply.status.to_string());
--- a/crates/gateway/src/peers/cache_index_task.rs
+++ b/crates/gateway/src/peers/cache_index_task.rs
@@ -81,8 +81,9 @@
     spec: &StoreSpec,
     link: &mut CallLink,
 ) -> Option<u64> {
-    let call = (gateway.dialect.kept.list)();
-    let update = poll(gateway, key, link, &call, LIST_TIMEOUT, gateway.dialect.kept.read_list).await.ok()?;
+    let call = (gateway.dialect.cache.list)();
+    let update =
+        poll(gateway, key, link, &call, LIST_TIMEOUT, gateway.dialect.cache.decode_list).await.ok()?;
     gateway.set_engine_clock(update.clock_millis);
     let report_deadline = gateway.now().after_millis(poll_schedule(gateway, spec).report_lifetime_millis());
     if let Some(row) = gateway.table().store_mut(key) {
@@ -102,9 +103,9 @@
     position: u64,
 ) -> Option<u64> {
     let schedule = poll_schedule(gateway, spec);
-    let call = (gateway.dialect.kept.events)(position, schedule.long_poll_millis);
+    let call = (gateway.dialect.cache.events)(position, schedule.long_poll_millis);
     let timeout = Duration::from_millis(schedule.long_poll_millis) + RESPONSE_TIMEOUT;
-    let decoder = gateway.dialect.kept.read_events;
+    let decoder = gateway.dialect.cache.decode_events;
     let update = match poll(gateway, key, link, &call, timeout, decoder).await {
         Ok(update) => update,
         Err(PollFailure::Busy(requested_millis)) => {
@@ -168,7 +169,7 @@
             Err(cause) => cause,
         },
         Ok(CallReply { status: BUSY_STATUS, headers, .. }) => {
-            let answer = (gateway.dialect.decode.answer)(StatusCode::TOO_MANY_REQUESTS, &headers);
+            let answer = (gateway.dialect.decoders.answer)(StatusCode::TOO_MANY_REQUESTS, &headers);
             return Err(PollFailure::Busy(answer.rest_millis.value().unwrap_or_default()));
         }
         Ok(CallReply { status, .. }) => format!("status {status}"),
--- a/crates/gateway/src/peers/gossip.rs
+++ b/crates/gateway/src/peers/gossip.rs
@@ -182,7 +182,7 @@
 /// Relays an update that a VM sends to its whole data centre, each message once, if this VM is one of its
 /// relays.
 async fn relay_updates(gateway: &Gateway, socket: &UdpSocket, stamp: PeerStamp, bytes: &[u8]) {
-    if !gateway.relayed.record(stamp) {
+    if !gateway.relay_history.record(stamp) {
         return;
     }
     let targets = gateway.peers().relay_targets(stamp.vm);
--- a/crates/gateway/src/peers/load_digest.rs
+++ b/crates/gateway/src/peers/load_digest.rs
@@ -153,7 +153,7 @@
             DigestScope::Elsewhere => 2,
         };
         let DigestMessages { placed, reports, mut cases, answers, rollouts } = messages;
-        cases.extend(gateway.desk().quarantine.repeat_messages(audience, now));
+        cases.extend(gateway.quarantine_tracker().quarantine.repeat_messages(audience, now));
         let loads = loads.into_iter();
         Self {
             scope,
--- a/crates/gateway/src/quarantine/quarantine_task.rs
+++ b/crates/gateway/src/quarantine/quarantine_task.rs
@@ -30,10 +30,10 @@
 pub(crate) async fn evaluate_evidence(gateway: Arc<Gateway>) {
     let mut next_sweep_at = Moment(0);
     loop {
-        let wake_at = gateway.desk().quarantine.next_evaluation_at().min(next_sweep_at);
+        let wake_at = gateway.quarantine_tracker().quarantine.next_evaluation_at().min(next_sweep_at);
         tokio::select! {
             () = gateway.evidence_received.notified() => {}
-            () = gateway.until(wake_at) => {}
+            () = gateway.wait_until(wake_at) => {}
         }
         gateway.evaluate_requests();
         if gateway.now() >= next_sweep_at {
@@ -46,7 +46,7 @@
 fn sweep(gateway: &Gateway) {
     let now = gateway.now();
     let (expired, held_count) = {
-        let mut tracker = gateway.desk();
+        let mut tracker = gateway.quarantine_tracker();
         let expired = tracker.quarantine.sweep(now);
         (expired, tracker.quarantine.rows().filter(|(_, row)| row.phase == QuarantinePhase::Held).count())
     };
@@ -78,7 +78,9 @@
     async fn write_due(&mut self) {
         loop {
             let now = self.gateway.now();
-            let Some((request, row)) = self.gateway.desk().quarantine.due_write(now) else { return };
+            let Some((request, row)) = self.gateway.quarantine_tracker().quarantine.due_write(now) else {
+                return;
+            };
             let is_done = match row.phase {
                 QuarantinePhase::Held => self.write(request, &row).await,
                 QuarantinePhase::Trial => true,
@@ -86,7 +88,7 @@
             };
             let retry_at =
                 if is_done { Moment::NEVER } else { self.gateway.now().after_millis(RETRY_DELAY_MILLIS) };
-            self.gateway.desk().quarantine.record_written(request, &row, retry_at);
+            self.gateway.quarantine_tracker().quarantine.record_written(request, &row, retry_at);
         }
     }
 
@@ -95,8 +97,10 @@
         let dialect = self.gateway.dialect.store;
         let remaining_millis = row.until.micros_since(self.gateway.now()) / MICROS_PER_MILLI;
         let grant = (dialect.grant)(remaining_millis.max(MIN_LEASE_MILLIS));
-        let Some(Ok(grant)) = self.link.call("grant", &grant, dialect.read_grant).await else { return false };
-        let label = self.gateway.desk().label(request).to_owned();
+        let Some(Ok(grant)) = self.link.call("grant", &grant, dialect.decode_grant).await else {
+            return false;
+        };
+        let label = self.gateway.quarantine_tracker().label(request).to_owned();
         let quarantine = StoredQuarantine { round: row.round, endings: row.crashes, request: label };
         // Plain structs of numbers and texts always have a JSON form.
         let value = serde_json::to_vec(&quarantine).unwrap_or_default();
@@ -108,7 +112,7 @@
                 writes: vec![(key.clone(), value.clone(), grant.lease)],
                 removals: Vec::new(),
             };
-            match self.link.call("write", &(dialect.transact)(&write), dialect.read_transact).await {
+            match self.link.call("write", &(dialect.transact)(&write), dialect.decode_transact).await {
                 Some(Ok(position)) => {
                     log::info!(digest:% = request, round = row.round, position:%; "quarantine.written");
                     return true;
@@ -132,7 +136,7 @@
         let removals = vec![format!("{QUARANTINE_PREFIX}{request}")];
         let write = StoreTransaction { removals, ..StoreTransaction::default() };
         matches!(
-            self.link.call("write", &(dialect.transact)(&write), dialect.read_transact).await,
+            self.link.call("write", &(dialect.transact)(&write), dialect.decode_transact).await,
             Some(Ok(_))
         )
     }
--- a/crates/gateway/src/quarantine/quarantine_tracker.rs
+++ b/crates/gateway/src/quarantine/quarantine_tracker.rs
@@ -73,14 +73,14 @@
 
 impl Gateway {
     /// Locks the evidence and the quarantines. Never held across a wait.
-    pub(crate) fn desk(&self) -> MutexGuard<'_, QuarantineTracker> {
+    pub(crate) fn quarantine_tracker(&self) -> MutexGuard<'_, QuarantineTracker> {
         self.quarantine_tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records that an endpoint crashed while it had a request of this VM.
     pub(crate) fn record_own_crash(&self, report: &CrashReport, send: &BrokenSend, endpoint: &str) {
         let now = self.now();
-        let mut tracker = self.desk();
+        let mut tracker = self.quarantine_tracker();
         if !tracker.quarantine.record_report(report, now) {
             return;
         }
@@ -99,18 +99,18 @@
 
     /// Whether one more crash may quarantine a request.
     pub(crate) fn is_near_quarantine(&self, request: RequestKey) -> bool {
-        self.desk().quarantine.is_near_threshold(request)
+        self.quarantine_tracker().quarantine.is_near_threshold(request)
     }
 
     /// Evaluates the requests whose evidence is due.
     pub(crate) fn evaluate_requests(&self) {
-        let changes = self.desk().quarantine.evaluate_due(self.now());
+        let changes = self.quarantine_tracker().quarantine.evaluate_due(self.now());
         self.publish_changes(&changes);
     }
 
     /// Records that an endpoint completed a request: the request does not crash endpoints.
     pub(crate) fn record_answered(&self, request: RequestKey) {
-        if self.desk().quarantine.record_answered(request, self.now()) {
+        if self.quarantine_tracker().quarantine.record_answered(request, self.now()) {
             let message = QuarantineMessage::Answered { request, ago_micros: 0 };
             self.local_quarantine_messages.push(message);
             self.remote_quarantine_messages.push(message);
@@ -130,7 +130,8 @@
         let now = self.now();
         let is_local = self.peers().is_local(reporter);
         for message in messages {
-            let (is_new, changes) = self.desk().quarantine.apply_quarantine_message(message, now);
+            let (is_new, changes) =
+                self.quarantine_tracker().quarantine.apply_quarantine_message(message, now);
             if !is_new {
                 continue;
             }
@@ -149,13 +150,13 @@
 
     /// Records that an endpoint's entry vanished without an announced departure.
     pub(crate) fn record_vanished_entry(&self, crash: EndpointCrash) {
-        self.desk().quarantine.record_crash(crash);
+        self.quarantine_tracker().quarantine.record_crash(crash);
     }
 
     /// Applies a quarantine that is in the store.
     pub(crate) fn apply_stored_quarantine(&self, request: RequestKey, stored: &StoredQuarantine) {
         let changes = {
-            let mut tracker = self.desk();
+            let mut tracker = self.quarantine_tracker();
             tracker.describe(request, &stored.request);
             tracker.quarantine.adopt_stored(request, (stored.round, stored.endings), self.now())
         };
@@ -164,7 +165,9 @@
 
     /// Releases a request at an operator's command; false if it is not quarantined.
     pub(crate) fn release_request(&self, request: RequestKey) -> bool {
-        let Some(round) = self.desk().quarantine.release(request, self.now()) else { return false };
+        let Some(round) = self.quarantine_tracker().quarantine.release(request, self.now()) else {
+            return false;
+        };
         self.publish_changes(&[QuarantineChange::Lifted { request, round }]);
         true
     }
@@ -172,7 +175,7 @@
     /// Returns all requests that are or were quarantined, for operators.
     pub(crate) fn quarantine_rows(&self) -> Vec<QuarantineRow> {
         let now = self.now();
-        let tracker = self.desk();
+        let tracker = self.quarantine_tracker();
         let rows = tracker.quarantine.rows().map(|(request, row)| QuarantineRow {
             digest: request.to_string(),
             request: tracker.label(request).to_owned(),
@@ -191,7 +194,7 @@
             let (label, request, round) = match *change {
                 QuarantineChange::Begun { request, round, verdict } => {
                     log::error!(digest:% = request, round, endings = verdict.crashes, blamed = verdict.counted,
-                        log_odds = verdict.log_odds, request = self.desk().label(request); "quarantine.begun");
+                        log_odds = verdict.log_odds, request = self.quarantine_tracker().label(request); "quarantine.begun");
                     ("begun", request, round)
                 }
                 QuarantineChange::Adopted { request, round } => {
@@ -221,7 +224,7 @@
     fn propagate_quarantine(&self, request: RequestKey, round: u32) {
         let now = self.now();
         let Some(QuarantinedRequest { crashes: endings, until, .. }) =
-            self.desk().quarantine.quarantined(request, now)
+            self.quarantine_tracker().quarantine.quarantined(request, now)
         else {
             return;
         };
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -149,7 +149,7 @@
         let started_at = self.gateway.now();
         let poll_at =
             started_at.after_millis(SHARE_POLL_INTERVAL_MILLIS).min(next_at).max(started_at.after_millis(1));
-        self.gateway.until(poll_at).await;
+        self.gateway.wait_until(poll_at).await;
         self.waited_micros += self.gateway.now().micros_since(started_at);
     }
 
@@ -223,7 +223,7 @@
                 return Some(PlaceResult::Late(return_delay_millis));
             }
         }
-        let transfers: Vec<_> = choice.transfers.moves(&context.segments).collect();
+        let transfers: Vec<_> = choice.transfers.store_transfers(&context.segments).collect();
         let (endpoint, address) = {
             let mut table = gateway.table();
             let is_limited = table.takes_few_requests(choice.key, gateway.now());
@@ -231,21 +231,24 @@
                 return Some(PlaceResult::WaitForShare(gateway.now()));
             }
             if is_limited {
-                gateway.shares.queue().record_served(&context.service, &self.queue_order, gateway.now());
+                gateway.quota_queue.queue().record_served(&context.service, &self.queue_entry, gateway.now());
             }
-            table.take(choice.key, choice.load, &context.segments, choice.salt_digest);
+            table.reserve(choice.key, choice.load, &context.segments, choice.salt_digest);
             let row = table.row(choice.key)?;
             let (id, address) = (row.entry.id.clone(), row.entry.address);
             let data_centre = row.entry.data_centre.clone();
             for (store, tokens) in &transfers {
                 if let Some(row) = table.store_mut(*store) {
-                    row.take(*tokens, &data_centre, gateway.now());
+                    row.begin_transfer(*tokens, &data_centre, gateway.now());
                 }
             }
             (id, address)
         };
         gateway.record_placement(PlacementMessage::new(&choice, &context.segments));
-        gateway.metrics.kept_tokens.inc_by(choice.transfers.kept_tokens + choice.transfers.moved_tokens);
+        gateway
+            .metrics
+            .kept_tokens
+            .inc_by(choice.transfers.cached_tokens + choice.transfers.transferred_tokens);
         let mut flight = SendFlight::new(&gateway, &choice, (endpoint, address), transfers);
         flight.versioned = self.versioned(choice.key);
         self.tried.push(choice.key);
@@ -267,7 +270,7 @@
         let gateway = &self.gateway;
         let now = gateway.now();
         !gateway.table().takes_few_requests(choice.key, now)
-            || gateway.shares.queue().is_next_in_queue(&self.context.service, &self.queue_order, now)
+            || gateway.quota_queue.queue().is_next_in_queue(&self.context.service, &self.queue_entry, now)
     }
 
     /// Queues or refuses a request that no endpoint takes now; none if there is no endpoint.
@@ -281,7 +284,7 @@
                 "request.unplaced");
             return None;
         };
-        let verdict = gateway.shares.queue().admit(request.service, &self.queue_order, &capacity, now);
+        let verdict = gateway.quota_queue.queue().admit(request.service, &self.queue_entry, &capacity, now);
         Some(match verdict {
             ShareVerdict::Wait(next_at) => PlaceResult::WaitForShare(next_at),
             ShareVerdict::Refuse(return_delay_millis) => {
@@ -340,7 +343,7 @@
     /// Sets the headers that name the stores to fetch segments from and to save them to.
     fn set_transfers(&self, choice: &PlacementChoice, set: &mut impl FnMut(&HeaderName, &[u8])) {
         let names = &self.gateway.dialect.headers;
-        let format_addresses = self.gateway.dialect.kept.segment_addresses;
+        let format_addresses = self.gateway.dialect.cache.segment_addresses;
         let now = self.gateway.now();
         let mut table = self.gateway.table();
         let address = |table: &FleetTable, store: Option<EndpointKey>| {
@@ -401,7 +404,7 @@
                 SendResult::Lost("broken")
             }
             Ok(Ok((answer, connection))) => {
-                let facts = (gateway.dialect.decode.answer)(answer.status(), answer.headers());
+                let facts = (gateway.dialect.decoders.answer)(answer.status(), answer.headers());
                 flight.set_connection(connection, &facts);
                 let result = self.classify(answer, &facts, flight);
                 // Only live endpoints count towards the route's attempts.
@@ -438,7 +441,7 @@
         loop {
             // Newer weights may be published meanwhile.
             let poll_at = gateway.now().after_millis(OVERDUE_POLL_INTERVAL_MILLIS).min(self.start_deadline());
-            let result = gateway.within(deadline.min(poll_at), exchange.as_mut()).await;
+            let result = gateway.complete_before(deadline.min(poll_at), exchange.as_mut()).await;
             let now = gateway.now();
             match result {
                 Err(DeadlinePassed) if now >= self.start_deadline() => return result,
--- a/crates/gateway/src/requests/long_answer.rs
+++ b/crates/gateway/src/requests/long_answer.rs
@@ -50,7 +50,7 @@
 impl LongForwarder {
     async fn forward(mut self) {
         let (gateway, deadline) = (Arc::clone(&self.run.gateway), self.run.context.deadline);
-        let broken = match gateway.within(deadline, self.forward_body()).await {
+        let broken = match gateway.complete_before(deadline, self.forward_body()).await {
             Ok(Ok(outcome)) => return self.run.set_outcome(outcome),
             Ok(Err(broken)) => broken,
             Err(DeadlinePassed) => {
--- a/crates/gateway/src/requests/quota_queue.rs
+++ b/crates/gateway/src/requests/quota_queue.rs
@@ -53,7 +53,7 @@
         if !membership.may_use_share(now) {
             return None;
         }
-        let mut cached = self.shares.right.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut cached = self.quota_queue.right.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((right, expires_at)) = cached.as_ref()
             && now < *expires_at
             && right.is_list_current == membership.is_list_current(now)
--- a/crates/gateway/src/requests/relay.rs
+++ b/crates/gateway/src/requests/relay.rs
@@ -90,7 +90,7 @@
     reservation: &MemoryReservation,
 ) -> Result<Bytes, OwnAnswer> {
     let max_bytes = gateway.routes().map_or(0, |table| table.config().limits.body_bytes);
-    match gateway.within(deadline, read_limited(body, max_bytes, reservation)).await {
+    match gateway.complete_before(deadline, read_limited(body, max_bytes, reservation)).await {
         Ok(Ok(content)) => Ok(content),
         Ok(Err(BodyFault::TooLong)) => {
             Err(OwnAnswer::plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"))
@@ -165,7 +165,8 @@
         let ReceivedHead { head, body, flight } = received;
         return stream_relay::forward_stream(run, head, body, flight).await;
     }
-    let bytes = match run.gateway.within(run.context.deadline, read_answer(&mut received.body)).await {
+    let bytes = match run.gateway.complete_before(run.context.deadline, read_answer(&mut received.body)).await
+    {
         Ok(Ok(AnswerStart::Whole(bytes))) => bytes,
         Ok(Ok(AnswerStart::Long(prefix))) => return Ok(forward_long(run, received, prefix).await),
         Ok(Err(_)) => {
--- a/crates/gateway/src/requests/request_context.rs
+++ b/crates/gateway/src/requests/request_context.rs
@@ -85,8 +85,8 @@
             .filter(|account| account.isolated)
             .map_or_else(|| SHARED_SCOPE.to_owned(), |account| format!("account:{}", account.name));
         let segments =
-            header_text(headers, &names.prompt_segments).and_then(gateway.dialect.decode.prompt_segments);
-        let usage = header_text(headers, &names.token_usage).and_then(gateway.dialect.decode.token_usage);
+            header_text(headers, &names.prompt_segments).and_then(gateway.dialect.decoders.prompt_segments);
+        let usage = header_text(headers, &names.token_usage).and_then(gateway.dialect.decoders.token_usage);
         let (prompt_tokens, output_tokens) = usage.unwrap_or_default();
         let priority = account.and_then(|account| account.priority).unwrap_or(route.priority);
         Ok(Self {
@@ -147,7 +147,8 @@
     route: &RouteRow,
     headers: &HeaderMap,
 ) -> Result<Option<&'a AccountRow>, OwnAnswer> {
-    let key = header_text(headers, &hyper::header::AUTHORIZATION).and_then(gateway.dialect.decode.caller_key);
+    let key =
+        header_text(headers, &hyper::header::AUTHORIZATION).and_then(gateway.dialect.decoders.caller_key);
     let account = key.and_then(|key| table.account(key));
     if account.is_none() && table.requires_keys() && !route.public {
         return Err(OwnAnswer::plain(StatusCode::UNAUTHORIZED, "no such key"));
--- a/crates/gateway/src/requests/request_run.rs
+++ b/crates/gateway/src/requests/request_run.rs
@@ -55,7 +55,7 @@
     /// Whether it waits for an engine with free capacity.
     pub waits_for_capacity: bool,
     /// Decides its position in the queue for rate-limited endpoints.
-    pub queue_order: QueueEntry,
+    pub queue_entry: QueueEntry,
     /// Decides whether it is a canary for a new version of its service.
     pub canary_draw: CanaryDraw,
     pub first_at: Option<Moment>,
@@ -75,12 +75,12 @@
     fn drop(&mut self) {
         let gateway = &self.gateway;
         let now = gateway.now();
-        gateway.shares.queue().remove(&self.context.service, self.queue_order.number);
+        gateway.quota_queue.queue().remove(&self.context.service, self.queue_entry.number);
         let outcome = self.outcome;
         gateway.metrics.answers.get_or_create(&KindLabel::new(outcome)).inc();
         let millis = |moment: Moment| moment.micros_since(self.context.received_at) / MICROS_PER_MILLI;
         let (expected_millis, cached_tokens, candidates) = self.choice.as_ref().map_or((0, 0, 0), |choice| {
-            (choice.expected_micros / MICROS_PER_MILLI, choice.transfers.kept_tokens, choice.candidates)
+            (choice.expected_micros / MICROS_PER_MILLI, choice.transfers.cached_tokens, choice.candidates)
         });
         log::info!(
             request = self.context.id_text(),
@@ -98,7 +98,7 @@
             kept = cached_tokens,
             held = self.choice.as_ref().map_or(0, |choice| choice.transfers.stored_tokens),
             saved = self.choice.as_ref().map_or(0, |choice| choice.transfers.saves.iter().flatten().count()),
-            moved = self.choice.as_ref().map_or(0, |choice| choice.transfers.moved_tokens),
+            moved = self.choice.as_ref().map_or(0, |choice| choice.transfers.transferred_tokens),
             weights = self.choice.as_ref().and_then(|choice| choice.version).unwrap_or(0),
             first_ms = self.first_at.map_or(-1, |at| millis(at) as i64),
             total_ms = millis(now),
@@ -116,8 +116,8 @@
         body: Bytes,
         resources: CallerResources,
     ) -> Self {
-        let queue_order = QueueEntry {
-            number: gateway.shares.next_number(),
+        let queue_entry = QueueEntry {
+            number: gateway.quota_queue.next_number(),
             priority: context.priority,
             account: context.account.clone().unwrap_or_default(),
             received_at: context.received_at,
@@ -134,7 +134,7 @@
             endpoint: String::new(),
             waited_micros: 0,
             waits_for_capacity: false,
-            queue_order,
+            queue_entry,
             canary_draw: CanaryDraw { number: rand::random(), has_slack: false },
             first_at: None,
             failure: None,
@@ -165,18 +165,18 @@
     /// Whether it is refused, because endpoints crash under it.
     pub(crate) fn is_quarantined(&mut self) -> bool {
         // Most of the time no request is suspected: then no body is hashed.
-        if self.gateway.desk().quarantine.is_idle() {
+        if self.gateway.quarantine_tracker().quarantine.is_idle() {
             return false;
         }
         let Some(key) = self.request_key() else { return false };
         let now = self.gateway.now();
-        self.gateway.desk().quarantine.quarantined(key, now).is_some()
+        self.gateway.quarantine_tracker().quarantine.quarantined(key, now).is_some()
     }
 
     /// Waits until evidence that may quarantine the request is evaluated: whether the endpoint of its last
     /// send crashed, and other evidence that was just received.
     pub(crate) async fn wait_for_evaluation(&mut self) {
-        if self.gateway.desk().quarantine.is_idle() {
+        if self.gateway.quarantine_tracker().quarantine.is_idle() {
             return;
         }
         let Some(key) = self.request_key() else { return };
@@ -186,9 +186,9 @@
             // The sender is dropped once the endpoint's crash is recorded, which ends the wait, too.
             let _ = completion.wait_for(|is_probed| *is_probed).await;
         }
-        let next_evaluation_at = self.gateway.desk().quarantine.evaluation_at_of(key);
+        let next_evaluation_at = self.gateway.quarantine_tracker().quarantine.evaluation_at_of(key);
         if let Some(next_evaluation_at) = next_evaluation_at {
-            self.gateway.until(next_evaluation_at).await;
+            self.gateway.wait_until(next_evaluation_at).await;
             self.gateway.evaluate_requests();
         }
     }
@@ -197,9 +197,9 @@
     pub(crate) fn refuse_quarantined(&mut self) -> Response<AnswerBody> {
         if let Some(key) = self.key {
             let label = self.label();
-            let mut desk = self.gateway.desk();
-            desk.quarantine.count_turned_away(key);
-            desk.describe(key, &label);
+            let mut tracker = self.gateway.quarantine_tracker();
+            tracker.quarantine.count_turned_away(key);
+            tracker.describe(key, &label);
         }
         self.gateway.metrics.turned_away.inc();
         self.finish_with(if self.may_have_run {
@@ -211,7 +211,7 @@
 
     /// Records that an endpoint ran it to its end.
     pub(crate) fn record_answered(&mut self) {
-        if self.gateway.desk().quarantine.is_idle() {
+        if self.gateway.quarantine_tracker().quarantine.is_idle() {
             return;
         }
         if let Some(key) = self.request_key() {
@@ -229,7 +229,7 @@
             "send.broke");
         let (Some(request), Some(crash)) = (key, self.crash_of(flight)) else { return };
         let label = self.label();
-        self.gateway.desk().describe(request, &label);
+        self.gateway.quarantine_tracker().describe(request, &label);
         let endpoint = BrokenEndpoint { id: flight.endpoint.clone(), address: flight.address };
         let request_id = self.context.id_text().to_owned();
         let send = BrokenSend { request, request_id, crash, age_micros };
@@ -310,7 +310,7 @@
             let may_serve = |row: &EndpointRow| table.is_home(homes, &row.entry.data_centre);
             table.backoff_capacity(&context.service, vms, may_serve, now)?
         };
-        Some(gateway.shares.queue().refuse(&context.service, &capacity, now))
+        Some(gateway.quota_queue.queue().refuse(&context.service, &capacity, now))
     }
 
     /// Answers a request whose deadline has passed.
--- a/crates/gateway/src/requests/stream_relay.rs
+++ b/crates/gateway/src/requests/stream_relay.rs
@@ -35,7 +35,7 @@
 ) -> Result<Response<AnswerBody>, FailedAnswer> {
     let mut reader = EventReader::new(body);
     let deadline = first_event_deadline(&run);
-    let first = match run.gateway.within(deadline, reader.next()).await {
+    let first = match run.gateway.complete_before(deadline, reader.next()).await {
         Ok(Ok(first)) => first,
         Ok(Err(error)) => {
             flight.record_outcome(SendOutcome::Broken);
@@ -68,7 +68,7 @@
 
 /// Applies the version of weights that an event reports.
 fn observe_weights(run: &RequestRun, flight: &SendFlight, events: &[u8]) {
-    let reported = (run.gateway.dialect.decode.event_weights)(events);
+    let reported = (run.gateway.dialect.decoders.event_weights)(events);
     if let (Some(model), Some(version)) = (&run.context.model, reported) {
         let source =
             AnswerSource { key: flight.key, request: run.context.id_text(), sent_at: flight.sent_at };
@@ -176,7 +176,7 @@
                 Err(error) => StreamStep::Broke(error.to_string()),
             },
             () = self.chunks.closed() => StreamStep::CallerLeft,
-            () = self.run.gateway.until(stall_deadline.min(deadline)) => {
+            () = self.run.gateway.wait_until(stall_deadline.min(deadline)) => {
                 if stall_deadline < deadline { StreamStep::Stalled } else { StreamStep::TimeUp }
             }
         }
--- a/crates/gateway/src/rollout/rollout_task.rs
+++ b/crates/gateway/src/rollout/rollout_task.rs
@@ -66,7 +66,7 @@
     fn due_records(&self, now: Moment) -> Vec<DueRecord> {
         let gateway = &self.gateway;
         let rollouts = gateway.rollouts();
-        let encode_status = gateway.dialect.decode.rollout_status;
+        let encode_status = gateway.dialect.decoders.rollout_status;
         let records = rollouts.runs().filter_map(|run| {
             let step = self.next_step(run, now);
             let phase = step.map_or(run.phase, |step| step.phase);
@@ -118,7 +118,7 @@
         let status_key = format!("{}{}", dialect.keys.rollout_statuses, record.service);
         // A plain struct of texts and numbers always has a JSON form.
         let value = serde_json::to_vec(record).unwrap_or_default();
-        let status = (dialect.decode.rollout_status)(record.phase, &record.target);
+        let status = (dialect.decoders.rollout_status)(record.phase, &record.target);
         let write = StoreTransaction {
             conditions: vec![
                 (ORDERS_KEY.to_owned(), Some(right_position)),
@@ -128,7 +128,7 @@
             writes: vec![(record_key.clone(), value, 0), (status_key.clone(), status.clone(), 0)],
             removals: Vec::new(),
         };
-        let (call, read) = ((dialect.store.transact)(&write), dialect.store.read_transact);
+        let (call, read) = ((dialect.store.transact)(&write), dialect.store.decode_transact);
         match self.link.call("write", &call, read).await {
             Some(Ok(position)) => {
                 let reason = due.reason.map_or("ordered", RolloutReason::label);
--- a/crates/gateway/src/rollout/rollout_tracker.rs
+++ b/crates/gateway/src/rollout/rollout_tracker.rs
@@ -31,7 +31,7 @@
 
     /// Applies an order of the operator for `service`.
     pub(crate) fn apply_rollout_order(&self, service: &str, item: &StoreItem) {
-        let order = (self.dialect.decode.rollout)(&item.value).and_then(|order| {
+        let order = (self.dialect.decoders.rollout)(&item.value).and_then(|order| {
             let is_same_service = order.service == service;
             is_same_service
                 .then_some(order)
--- a/crates/gateway/src/store/era_check.rs
+++ b/crates/gateway/src/store/era_check.rs
@@ -15,7 +15,7 @@
             // What the backup lacks is written again soon; entries that disappear meanwhile get a grace
             // period.
             self.record_store_failure(self.now());
-            self.desk().quarantine.rewrite_all();
+            self.quarantine_tracker().quarantine.rewrite_all();
             log::warn!(era, source; "store.restored");
         }
         self.metrics.store_era.set(self.era.known().unwrap_or_default() as i64);
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -117,7 +117,7 @@
         if follower.list_all().await {
             while follower.step(&mut received).await {}
         } else {
-            follower.gateway.until(follower.backoff_until).await;
+            follower.gateway.wait_until(follower.backoff_until).await;
         }
     }
 }
@@ -199,7 +199,7 @@
                 self.apply_message(message).await;
                 true
             }
-            () = self.gateway.until(poll_at.min(now.after_millis(ROLE_POLL_INTERVAL_MILLIS))) => {
+            () = self.gateway.wait_until(poll_at.min(now.after_millis(ROLE_POLL_INTERVAL_MILLIS))) => {
                 if now < poll_at { true } else { self.watch_once(received).await }
             }
         }
@@ -343,7 +343,7 @@
     /// snapshot the listing continues among the endpoints.
     async fn list_with_snapshot(&mut self, listing_progress: &mut ListingProgress) -> bool {
         // A VM that starts together with others has recorded the sources of snapshots only after a while.
-        self.gateway.until(self.started_at.after_millis(STARTUP_DELAY_MILLIS)).await;
+        self.gateway.wait_until(self.started_at.after_millis(STARTUP_DELAY_MILLIS)).await;
         let resume_key = listing_progress.last_key.replace(prefix_end(self.gateway.dialect.keys.endpoints));
         while !listing_progress.is_complete {
             if !self.list_page(listing_progress).await {
@@ -363,7 +363,7 @@
     /// Lists one page and applies it.
     async fn list_page(&mut self, listing_progress: &mut ListingProgress) -> bool {
         let call = (self.gateway.dialect.store.range)("", listing_progress.last_key.as_deref());
-        let decoder = self.gateway.dialect.store.read_range;
+        let decoder = self.gateway.dialect.store.decode_range;
         let Some(Ok(page)) = self.call("list", &call, Instant::now() + LIST_TIMEOUT, decoder).await else {
             return false;
         };
@@ -373,7 +373,7 @@
         listing_progress.record_page(page.position);
         listing_progress.last_key =
             page.items.last().map(|item| item.key.clone()).or(listing_progress.last_key.take());
-        listing_progress.is_complete = !page.more;
+        listing_progress.is_complete = !page.has_more;
         self.view.apply_page(page.items, &mut listing_progress.listing);
         true
     }
@@ -389,7 +389,7 @@
         let from = self.position;
         let call = (self.gateway.dialect.store.watch)("", from, long_poll_millis);
         let deadline = Instant::now() + Duration::from_millis(long_poll_millis) + WATCH_RESPONSE_TIMEOUT;
-        let decoder = self.gateway.dialect.store.read_watch;
+        let decoder = self.gateway.dialect.store.decode_watch;
         if is_regular_poll {
             self.record_polling();
         }
@@ -511,7 +511,7 @@
         };
         let dialect = self.gateway.dialect.store;
         let deadline = Instant::now() + LIST_TIMEOUT;
-        match self.call("write", &(dialect.transact)(&transaction), deadline, dialect.read_transact).await {
+        match self.call("write", &(dialect.transact)(&transaction), deadline, dialect.decode_transact).await {
             Some(Ok(position)) => log::info!(position:%; "peer_key.offered"),
             // Another VM was first, or nothing was done: the watch returns the key, or it is offered again.
             Some(Err(error)) => log::info!(cause:% = error; "peer_key.not_taken"),
--- a/crates/gateway/src/store/lease_keeper.rs
+++ b/crates/gateway/src/store/lease_keeper.rs
@@ -175,7 +175,7 @@
         let sent_at = self.gateway.now();
         let dialect = self.gateway.dialect.store;
         if let Some(lease) = self.lease.filter(|_| !self.needs_shorter_lease()) {
-            match self.call("renew", &(dialect.renew)(lease.id), dialect.read_renew).await {
+            match self.call("renew", &(dialect.renew)(lease.id), dialect.decode_renew).await {
                 Some(Ok(ttl_millis)) => {
                     self.failures = 0;
                     self.record_renewal(sent_at, ttl_millis);
@@ -189,7 +189,7 @@
         let sent_at = self.gateway.now();
         self.terms = LeaseTerms::for_name_index(self.name_index());
         let call = (dialect.grant)(self.terms.lease_millis);
-        let Some(Ok(grant)) = self.call("grant", &call, dialect.read_grant).await else {
+        let Some(Ok(grant)) = self.call("grant", &call, dialect.decode_grant).await else {
             return self.next_failure_backoff();
         };
         if !self.write_entry(grant.lease).await {
@@ -229,7 +229,7 @@
             StoreTransaction { writes: vec![(key, to_json(&entry), lease)], ..StoreTransaction::default() };
         let dialect = self.gateway.dialect.store;
         matches!(
-            self.call("write", &(dialect.transact)(&transaction), dialect.read_transact).await,
+            self.call("write", &(dialect.transact)(&transaction), dialect.decode_transact).await,
             Some(Ok(_))
         )
     }
@@ -303,7 +303,7 @@
             removals: Vec::new(),
         };
         let dialect = self.gateway.dialect.store;
-        let answer = self.call("write", &(dialect.transact)(&transaction), dialect.read_transact).await;
+        let answer = self.call("write", &(dialect.transact)(&transaction), dialect.decode_transact).await;
         if let Some(Ok(position)) = answer {
             let fencing = position.fencing();
             let from = self.gateway.now().after_millis(delay_millis);
@@ -331,7 +331,7 @@
         self.right.send_replace(OrderRight::default());
         self.drop_outdated_lease();
         if let Some(lease) = self.lease.take() {
-            let call = (self.gateway.dialect.store.end)(lease.id);
+            let call = (self.gateway.dialect.store.revoke)(lease.id);
             let decoder: StoreDecoder<()> = |_| Ok(());
             let _ = self.call("end", &call, decoder).await;
         }
--- a/crates/gateway/src/store/snapshot_port.rs
+++ b/crates/gateway/src/store/snapshot_port.rs
@@ -121,7 +121,7 @@
         return None;
     }
     let now = gateway.now();
-    let mut state = gateway.copies.state();
+    let mut state = gateway.snapshot_cache.state();
     if state.busy_until > now.after_millis(MAX_SEND_DELAY_MILLIS) {
         return None;
     }
@@ -141,7 +141,7 @@
 /// Discards an expired snapshot: few are requested once all VMs have started.
 pub(crate) fn evict_expired_snapshot(gateway: &Gateway) {
     let now = gateway.now();
-    let mut state = gateway.copies.state();
+    let mut state = gateway.snapshot_cache.state();
     if state.packed.as_ref().is_some_and(|(_, valid_until)| now >= *valid_until) {
         state.packed = None;
     }
--- a/crates/gateway/src/store/store_view.rs
+++ b/crates/gateway/src/store/store_view.rs
@@ -241,7 +241,7 @@
     }
 
     fn apply_configuration(&mut self, item: &StoreItem) {
-        match (self.gateway.dialect.decode.configuration)(&item.value) {
+        match (self.gateway.dialect.decoders.configuration)(&item.value) {
             Ok(config) => {
                 let version = config.version;
                 let (routes, accounts) = (config.routes.len(), config.accounts.len());
@@ -293,11 +293,11 @@
 
     /// Decodes an entry that an endpoint wrote itself; one of another writer is refused.
     fn decode_endpoint(&self, id: &str, value: &[u8]) -> Result<EndpointEntry, EntryError> {
-        let entry = (self.gateway.dialect.decode.endpoint)(id, value)?;
+        let entry = (self.gateway.dialect.decoders.endpoint)(id, value)?;
         let latest = wall_clock_millis().saturating_add(MAX_START_LEAD_MILLIS);
         let is_future = entry.born_millis.is_some_and(|born| born > latest);
         if is_future || self.gateway.table().lacks_start_time(&entry) {
-            return Err(EntryError::Born);
+            return Err(EntryError::InvalidStart);
         }
         Ok(entry)
     }
@@ -358,7 +358,7 @@
     }
 
     fn apply_weights(&self, item: &StoreItem) {
-        match (self.gateway.dialect.decode.weights)(&item.value) {
+        match (self.gateway.dialect.decoders.weights)(&item.value) {
             Ok(target) => {
                 if self.gateway.record_publication(&target) {
                     log::info!(model = target.model.as_str(), version = target.version; "weights.named");
