--- a/crates/decide/src/admit/admission.rs
+++ b/crates/decide/src/admit/admission.rs
@@ -28,8 +28,9 @@
 const IN_TIME_FRACTION: f64 = 0.95;
 /// Queue at an engine that delays no other request, as a fraction of the objective.
 const SHORT_QUEUE_FRACTION: f64 = 0.25;
-/// Time for which a prompt may wait, as a fraction of the time after which callers disconnect. Its first
-/// event must be expected by then: some callers disconnect earlier, and the estimate may be exceeded.
+/// Time by which the first event of a waiting prompt must be expected, as a fraction of the time after which
+/// callers disconnect. A later one is not worth waiting for: some callers disconnect earlier, and the estimate
+/// may be exceeded.
 const MAX_WAIT_FRACTION: f64 = 0.7;
 /// Delay after which a refused caller may retry, in milliseconds: about the time in which an engine finishes
 /// a few runs.
--- a/crates/decide/src/admit/placement.rs
+++ b/crates/decide/src/admit/placement.rs
@@ -20,8 +20,8 @@
 };
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 
-/// Time in which an engine prefills one prompt token, in microseconds, steps included. It applies until the
-/// engine's slowdown is measured.
+/// Time in which an engine prefills one prompt token, in microseconds, steps included. It is multiplied by the
+/// engine's slowdown, which is one until it is measured.
 const PREFILL_MICROS_PER_TOKEN: f64 = 21.0;
 /// Time from the request to the first event without prefill, in microseconds.
 const FIRST_EVENT_MICROS: f64 = 20_000.0;
--- a/crates/decide/src/fleet/endpoint_backoff.rs
+++ b/crates/decide/src/fleet/endpoint_backoff.rs
@@ -67,7 +67,9 @@
         now < self.until
     }
 
-    /// Whether it takes requests without restriction: it is not backing off, and has served a request since.
+    /// Whether it takes requests without restriction.
+    ///
+    /// It never backed off, or its backoff is over and it has served a request since.
     pub fn is_recovered(&self, now: Moment) -> bool {
         !self.is_recovering && !self.is_backing_off(now)
     }
--- a/crates/decide/src/fleet/endpoint_row.rs
+++ b/crates/decide/src/fleet/endpoint_row.rs
@@ -103,7 +103,7 @@
     pub is_unreadable: bool,
     /// End of its data centre's evacuation; it gets no new work until then, and running work finishes.
     pub evacuated_until: Moment,
-    /// End of its warm-up; it takes only a few requests a second until then.
+    /// End of its warm-up; until then it takes only a few requests a second if its service has a reduced rate.
     pub cold_until: Moment,
     /// Limit of requests a second from all VMs together.
     pub limit: ReportedLimit,
@@ -213,6 +213,8 @@
     }
 
     /// Whether it announced its departure, in an answer or in its entry.
+    ///
+    /// Its end is then expected, and no crash.
     pub const fn has_announced_departure(&self) -> bool {
         self.has_departed || self.entry.draining
     }
--- a/crates/decide/src/fleet/fleet_table.rs
+++ b/crates/decide/src/fleet/fleet_table.rs
@@ -57,7 +57,10 @@
     pub(super) evacuated: BTreeMap<String, Moment>,
     /// Region of each data centre.
     pub(super) regions: BTreeMap<String, String>,
-    /// Upper bound of `cold_until` over all rows.
+    /// Time from which no endpoint is cold, as far as recorded.
+    ///
+    /// Counts only endpoints whose service has a reduced rate while cold, and those that stated a warm-up time
+    /// in an answer.
     pub(super) max_cold_until: Moment,
     /// Whether any endpoint may have a reported limit.
     pub(super) has_limits: bool,
--- a/crates/decide/src/fleet/propagation_plan.rs
+++ b/crates/decide/src/fleet/propagation_plan.rs
@@ -15,7 +15,7 @@
 ///
 /// In these, one more hop costs more than it saves.
 const MIN_RELAYED_VMS: usize = 30;
-/// A link is wide if it has this fraction of the reporter's link capacity.
+/// A link is wide if it has at least this fraction of the reporter's link capacity.
 ///
 /// VMs with wide links are preferred as relays.
 const WIDE_LINK_FRACTION: f64 = 0.5;
--- a/crates/decide/src/kept/transfer_plan.rs
+++ b/crates/decide/src/kept/transfer_plan.rs
@@ -1,10 +1,10 @@
 //! Plans which segments of a prompt an engine fetches from stores, and which it saves there.
 //!
 //! Invariant: a segment is fetched only from a store that has reported it complete, and only if the transfer
-//! is expected to take less time than prefilling it. A segment is saved by one request only: it goes to the
-//! fastest store with free space, unless a store contains or expects it. The last segment belongs to one
-//! request and is not saved. Nothing is saved outside the prompt's home regions; a fetch from outside
-//! transfers the segment to an engine, which is in one.
+//! is expected to take less time than prefilling it, or little more time at a lower price. A segment is saved
+//! by one request only: it goes to the fastest store with free space, unless a store contains or expects it.
+//! The last segment belongs to one request and is not saved. Nothing is saved outside the prompt's home
+//! regions; a fetch from outside transfers the segment to an engine, which is in one.
 
 use crate::salted_key;
 use crate::{EndpointKey, FleetTable, HomeRegions, PromptSegment, StoreRow};
--- a/crates/decide/src/quarantine/crash_history.rs
+++ b/crates/decide/src/quarantine/crash_history.rs
@@ -207,7 +207,7 @@
         verdict
     }
 
-    /// Returns all reports, sorted by the time of their crash.
+    /// Returns all reports, those of the latest crashes last.
     pub fn reports(&self) -> Vec<CrashReport> {
         let rows = self.crashes.values().flat_map(|row| {
             let reports = row.runs.iter();
--- a/crates/decide/src/quarantine/request_quarantine.rs
+++ b/crates/decide/src/quarantine/request_quarantine.rs
@@ -15,7 +15,7 @@
 /// for evidence and 30 for quarantines, and only while there are any.
 const REPEAT_INTERVAL_MILLIS: u64 = 1_000;
 
-/// Delay between the first evidence and its evaluation. Requests that were running at the same crash are
+/// Delay between the report with which a request may be fatal and its evaluation. Requests that were running at the same crash are
 /// reported one after the other, within 20 ms by VMs of one data centre and 140 ms across five, and the first
 /// reported must not look more suspicious than the others.
 const EVIDENCE_DELAY_MILLIS: u64 = 150;
--- a/crates/decide/src/weights/publication_record.rs
+++ b/crates/decide/src/weights/publication_record.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 
-/// Age difference above which a record is rewritten, in milliseconds: VMs receive the same publication some
-/// milliseconds apart.
+/// A record is rewritten if a publication turns out to be earlier than recorded by more than this, in
+/// milliseconds: VMs receive the same publication some milliseconds apart.
 const REWRITE_THRESHOLD_MILLIS: u64 = 200;
 
 /// Publication time of one version.
--- a/crates/decide/src/weights/weight_scheduler.rs
+++ b/crates/decide/src/weights/weight_scheduler.rs
@@ -10,8 +10,8 @@
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
 
-/// Minimum number of engines that load at the same time. By specification for 18 engines, more concurrent loads
-/// slow one another down.
+/// Number of engines that may load at the same time in a small deployment; large ones allow more. By
+/// specification for 18 engines, more concurrent loads slow one another down.
 const MIN_CONCURRENT_LOADS: usize = 3;
 /// Fraction of the time until old weights are overdue. All engines should have loaded within it: large
 /// deployments run as many concurrent loads as that takes (9 of 60 engines in 12 s; more than 12 loads slow
@@ -26,8 +26,8 @@
 /// Minimum time between the cordon of an engine and its order, in milliseconds. By then all VMs have received
 /// the cordon.
 const MIN_CORDON_MILLIS: u64 = 100;
-/// Time from the cordon to the order while requests still run, in milliseconds. They finish before the load
-/// all the same.
+/// Longest wait for an engine's running requests between its cordon and its order, in milliseconds. Requests
+/// that still run then finish before the load all the same.
 const MAX_CORDON_MILLIS: u64 = 900;
 
 /// Assumed time of a load until one is measured, in microseconds (specified: 0.76 s).
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -105,7 +105,7 @@
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
     table.apply_peer_loads(LoadSource::Vm(VmKey::of("vm-2")), &[(key("i-2"), load(9_000, 9_000))], NOW);
     assert_eq!(chosen(&table, &request()).key, key("i-1"));
-    // A peer whose silence timeout has passed is departed, and its requests no longer count.
+    // The loads of a peer that sends no more digests expire, and its requests no longer count.
     let later = NOW.after_millis(5_000);
     assert_eq!(place(&table, &request(), later).unwrap().key, key("i-2"));
 }
