--- a/crates/decide/src/fleet/endpoint_row.rs
+++ b/crates/decide/src/fleet/endpoint_row.rs
@@ -290,7 +290,7 @@
             }
             SendOutcome::Refused => {
                 if let Some(millis) = report.rest_millis {
-                    self.reported_health.record_asked_backoff(reporter, millis, slot, now);
+                    self.reported_health.record_requested_backoff(reporter, millis, slot, now);
                 }
                 return;
             }
--- a/crates/decide/src/fleet/reported_health.rs
+++ b/crates/decide/src/fleet/reported_health.rs
@@ -45,7 +45,7 @@
     /// Last VM that could not reach it, and when it reported so; none since an answer.
     unreachable_from: Option<(VmKey, Moment)>,
     /// Last VM that was asked for a backoff, and the end of that backoff.
-    asked_backoff: Option<(VmKey, Moment)>,
+    requested_backoff: Option<(VmKey, Moment)>,
     /// Successive avoidances without an answer.
     avoidances: u32,
     avoidance_began_at: Moment,
@@ -89,9 +89,11 @@
     }
 
     /// Records that it asked the VM `reporter` for a backoff of `millis`; `slot` as in `record_unreachable`.
-    pub(crate) fn record_asked_backoff(&mut self, reporter: VmKey, millis: u64, slot: f64, now: Moment) {
+    pub(crate) fn record_requested_backoff(&mut self, reporter: VmKey, millis: u64, slot: f64, now: Moment) {
         let until = now.after_millis(millis.min(MAX_REQUESTED_AVOIDANCE_MILLIS));
-        let Some((previous, previous_until)) = self.asked_backoff.replace((reporter, until)) else { return };
+        let Some((previous, previous_until)) = self.requested_backoff.replace((reporter, until)) else {
+            return;
+        };
         if previous == reporter || now >= previous_until {
             return;
         }
--- a/crates/decide/src/kept/store_row.rs
+++ b/crates/decide/src/kept/store_row.rs
@@ -192,7 +192,7 @@
 
     /// Whether it contains all `tokens` of a segment.
     pub fn contains(&self, key: u64, tokens: u32, now: Moment) -> bool {
-        self.is_reachable(now) && self.segments.get(&key).is_some_and(|held| *held >= tokens)
+        self.is_reachable(now) && self.segments.get(&key).is_some_and(|stored| *stored >= tokens)
     }
 
     /// Whether the segment is stored, or is being sent for a request of this VM.
--- a/crates/decide/src/quarantine/crash_history.rs
+++ b/crates/decide/src/quarantine/crash_history.rs
@@ -93,13 +93,13 @@
     /// Natural logarithm of one over the probability that it is unrelated to them.
     pub log_odds: f64,
     /// Number of endpoints of the service.
-    pub among: u32,
+    pub service_size: u32,
 }
 
 impl CrashVerdict {
     /// Whether the request crashes endpoints.
     pub fn is_fatal(&self) -> bool {
-        let needed = MIN_LOG_ODDS + f64::from(self.among.max(1)).ln();
+        let needed = MIN_LOG_ODDS + f64::from(self.service_size.max(1)).ln();
         self.counted >= MIN_CRASHES_PER_VERDICT && self.log_odds >= needed
     }
 
@@ -200,7 +200,7 @@
             let Some(run) = row.runs.iter().find(|run| run.request == request) else { continue };
             if self.is_attributed(run, row) {
                 verdict.counted += 1;
-                verdict.among = verdict.among.max(row.crash.among);
+                verdict.service_size = verdict.service_size.max(row.crash.service_size);
                 verdict.log_odds -= self.probability(run, &row.crash).ln();
             }
         }
@@ -264,7 +264,8 @@
             let distance_micros =
                 row.crash.at.micros_since(crash.at).max(crash.at.micros_since(row.crash.at));
             let is_within = |millis: u64| distance_micros <= millis * MICROS_PER_MILLI;
-            let is_at_address = row.crash.place == crash.place && is_within(ADDRESS_WINDOW_MILLIS);
+            let is_at_address =
+                row.crash.address_digest == crash.address_digest && is_within(ADDRESS_WINDOW_MILLIS);
             has_crashed_before |= is_at_address && row.crash.at <= crash.at;
             if row.runs.iter().any(|run| run.request == request) {
                 continue;
@@ -275,14 +276,14 @@
             }
         }
         let seconds = |millis: u64| (2 * millis) as f64 / 1_000.0;
-        let among = f64::from(crash.among.max(1));
+        let service_size = f64::from(crash.service_size.max(1));
         let window_rates = nearby
             .iter()
             .zip(RATE_WINDOWS_MILLIS)
-            .map(|(count, window)| f64::from(*count) / (among * seconds(window)));
+            .map(|(count, window)| f64::from(*count) / (service_size * seconds(window)));
         // Counts one more than were seen, since a rate of zero can't be inferred from no crashes.
         let floor = f64::from(nearby[RATE_WINDOWS_MILLIS.len() - 1] + 1)
-            / (among * seconds(RATE_WINDOWS_MILLIS[RATE_WINDOWS_MILLIS.len() - 1]));
+            / (service_size * seconds(RATE_WINDOWS_MILLIS[RATE_WINDOWS_MILLIS.len() - 1]));
         let address = f64::from(at_address) / seconds(ADDRESS_WINDOW_MILLIS);
         let repeat = if has_crashed_before { REPEAT_CRASH_RATE_PER_S } else { 0.0 };
         window_rates.fold(floor.max(address).max(repeat), f64::max)
--- a/crates/decide/src/quarantine/endpoint_crash.rs
+++ b/crates/decide/src/quarantine/endpoint_crash.rs
@@ -9,11 +9,11 @@
     /// Identifies one start of the endpoint.
     pub start: EndpointKey,
     /// Short digest of its address.
-    pub place: u64,
+    pub address_digest: u64,
     /// Short digest of the service's name.
     pub service: u64,
     /// Number of endpoints of the service at that time, including this one.
-    pub among: u32,
+    pub service_size: u32,
     /// When it crashed.
     pub at: Moment,
 }
--- a/crates/decide/src/quarantine/quarantine_message.rs
+++ b/crates/decide/src/quarantine/quarantine_message.rs
@@ -57,7 +57,7 @@
 impl QuarantineMessage {
     /// Converts a report to a message.
     pub fn of_report(report: &CrashReport, now: Moment) -> Self {
-        let EndpointCrash { start, place, service, among, at } = report.crash;
+        let EndpointCrash { start, address_digest: place, service, service_size: among, at } = report.crash;
         let (request, age_micros) = (report.request, report.age_micros);
         Self::Ended { request, start, place, service, among, age_micros, ago_micros: now.micros_since(at) }
     }
--- a/crates/decide/src/quarantine/quarantine_table.rs
+++ b/crates/decide/src/quarantine/quarantine_table.rs
@@ -25,11 +25,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantinePhase {
     /// The request is refused.
-    Held,
+    Quarantined,
     /// The request may run again; one crash begins the next quarantine.
-    Trial,
+    Probation,
     /// Operators ended the quarantine, or better evidence against another request did.
-    Lifted,
+    Released,
 }
 
 /// Request that is or was quarantined.
@@ -69,7 +69,7 @@
     /// Returns the quarantine of a request, if the request is to be refused now.
     pub fn quarantined(&self, request: RequestKey, now: Moment) -> Option<QuarantinedRequest> {
         let row = self.rows.get(&request)?;
-        (row.phase == QuarantinePhase::Held && now < row.until).then_some(*row)
+        (row.phase == QuarantinePhase::Quarantined && now < row.until).then_some(*row)
     }
 
     /// Whether there is a row of a request.
@@ -79,7 +79,7 @@
 
     /// Whether one crash is enough to quarantine a request.
     pub fn is_on_probation(&self, request: RequestKey) -> bool {
-        self.rows.get(&request).is_some_and(|row| row.phase == QuarantinePhase::Trial)
+        self.rows.get(&request).is_some_and(|row| row.phase == QuarantinePhase::Probation)
     }
 
     /// Begins a quarantine; returns its number, or none if the request is quarantined already or the table is
@@ -90,7 +90,7 @@
         }
         let round = self.rows.get(&request).map_or(0, |row| row.round) + 1;
         let until = now.after_millis(QUARANTINE_MILLIS);
-        let phase = QuarantinePhase::Held;
+        let phase = QuarantinePhase::Quarantined;
         self.rows.insert(
             request,
             QuarantinedRequest { round, crashes, phase, until, write_at: now, turned_away: 0 },
@@ -110,10 +110,10 @@
         let until = until.min(now.after_millis(QUARANTINE_MILLIS));
         if let Some(row) = self.rows.get_mut(&request).filter(|row| row.round >= round) {
             if row.round == round {
-                if row.phase == QuarantinePhase::Held {
+                if row.phase == QuarantinePhase::Quarantined {
                     row.until = row.until.min(until);
                 }
-                if is_stored && row.phase == QuarantinePhase::Held {
+                if is_stored && row.phase == QuarantinePhase::Quarantined {
                     row.write_at = Moment::NEVER;
                 }
             }
@@ -123,7 +123,7 @@
             return false;
         }
         let write_at = if is_stored { Moment::NEVER } else { now.after_millis(WRITE_DELAY_MILLIS) };
-        let phase = QuarantinePhase::Held;
+        let phase = QuarantinePhase::Quarantined;
         self.rows
             .insert(request, QuarantinedRequest { round, crashes, phase, until, write_at, turned_away: 0 });
         true
@@ -137,8 +137,8 @@
     }
 
     fn release_locally(&mut self, request: RequestKey, now: Moment) -> Option<u32> {
-        let row = self.rows.get_mut(&request).filter(|row| row.phase != QuarantinePhase::Lifted)?;
-        row.phase = QuarantinePhase::Lifted;
+        let row = self.rows.get_mut(&request).filter(|row| row.phase != QuarantinePhase::Released)?;
+        row.phase = QuarantinePhase::Released;
         row.until = now.after_millis(QUARANTINE_MILLIS);
         row.write_at = Moment::NEVER;
         Some(row.round)
@@ -151,7 +151,7 @@
             Some(_) => false,
             None => {
                 // The store may still contain this quarantine; the row prevents it from beginning here.
-                let (phase, until) = (QuarantinePhase::Lifted, now.after_millis(QUARANTINE_MILLIS));
+                let (phase, until) = (QuarantinePhase::Released, now.after_millis(QUARANTINE_MILLIS));
                 if self.has_capacity(request) {
                     let row = QuarantinedRequest {
                         round,
@@ -186,9 +186,9 @@
     pub fn sweep(&mut self, now: Moment) -> Vec<(RequestKey, QuarantinedRequest)> {
         let mut ended = Vec::new();
         for (request, row) in &mut self.rows {
-            if row.phase == QuarantinePhase::Held && now >= row.until {
+            if row.phase == QuarantinePhase::Quarantined && now >= row.until {
                 ended.push((*request, *row));
-                row.phase = QuarantinePhase::Trial;
+                row.phase = QuarantinePhase::Probation;
                 row.until = row.until.after_millis(PROBATION_MILLIS);
                 row.write_at = Moment::NEVER;
             }
@@ -205,7 +205,7 @@
 
     /// Schedules a write of all quarantines, since the store may have lost them.
     pub fn rewrite_all(&mut self) {
-        for row in self.rows.values_mut().filter(|row| row.phase == QuarantinePhase::Held) {
+        for row in self.rows.values_mut().filter(|row| row.phase == QuarantinePhase::Quarantined) {
             row.write_at = Moment(0);
         }
     }
@@ -221,7 +221,7 @@
 
     /// Returns the row to propagate again after that of `last`, in rotation.
     pub fn next_to_propagate(&self, last: Option<RequestKey>) -> Option<(RequestKey, QuarantinedRequest)> {
-        let is_propagated = |row: &QuarantinedRequest| row.phase != QuarantinePhase::Trial;
+        let is_propagated = |row: &QuarantinedRequest| row.phase != QuarantinePhase::Probation;
         let following =
             self.rows.iter().filter(|(request, row)| is_propagated(row) && Some(**request) > last);
         let next = following.min_by_key(|(request, _)| **request);
@@ -234,7 +234,7 @@
         if self.rows.len() < MAX_ROWS || self.rows.contains_key(&request) {
             return true;
         }
-        let evictable = self.rows.iter().filter(|(_, row)| row.phase != QuarantinePhase::Held);
+        let evictable = self.rows.iter().filter(|(_, row)| row.phase != QuarantinePhase::Quarantined);
         let evictable = evictable.min_by_key(|(_, row)| row.until).map(|(request, _)| *request);
         evictable.is_some_and(|evictable| self.rows.remove(&evictable).is_some())
     }
--- a/crates/decide/src/quarantine/request_quarantine.rs
+++ b/crates/decide/src/quarantine/request_quarantine.rs
@@ -180,7 +180,13 @@
         let before = |micros: u64| Moment(now.0.saturating_sub(micros));
         match *message {
             QuarantineMessage::Ended { request, start, place, service, among, age_micros, ago_micros } => {
-                let crash = EndpointCrash { start, place, service, among, at: before(ago_micros) };
+                let crash = EndpointCrash {
+                    start,
+                    address_digest: place,
+                    service,
+                    service_size: among,
+                    at: before(ago_micros),
+                };
                 let report = CrashReport { request, crash, age_micros };
                 (self.record_report(&report, now), Vec::new())
             }
@@ -206,10 +212,10 @@
     pub fn adopt_stored(
         &mut self,
         request: RequestKey,
-        round_and_endings: (u32, u32),
+        round_and_crashes: (u32, u32),
         now: Moment,
     ) -> Vec<QuarantineChange> {
-        self.adopt(request, round_and_endings, Moment::NEVER, true, now).1
+        self.adopt(request, round_and_crashes, Moment::NEVER, true, now).1
     }
 
     /// Releases a request and discards the evidence; returns the number of its quarantine.
@@ -252,22 +258,22 @@
         let reports = self.history.reports();
         let report = reports.get(schedule.next_report % reports.len().max(1));
         schedule.next_report = schedule.next_report.wrapping_add(1);
-        let held = self.table.next_to_propagate(schedule.last_request);
-        schedule.last_request = held.map(|(request, _)| request);
+        let quarantined = self.table.next_to_propagate(schedule.last_request);
+        schedule.last_request = quarantined.map(|(request, _)| request);
         let report = report.map(|report| QuarantineMessage::of_report(report, now));
-        let held = held.map(|(request, row)| message_of(request, &row, now));
-        report.into_iter().chain(held).collect()
+        let quarantined = quarantined.map(|(request, row)| message_of(request, &row, now));
+        report.into_iter().chain(quarantined).collect()
     }
 
     fn adopt(
         &mut self,
         request: RequestKey,
-        (round, endings): (u32, u32),
+        (round, crashes): (u32, u32),
         until: Moment,
         is_stored: bool,
         now: Moment,
     ) -> (bool, Vec<QuarantineChange>) {
-        if !self.table.adopt(request, (round, endings), until, is_stored, now) {
+        if !self.table.adopt(request, (round, crashes), until, is_stored, now) {
             return (false, Vec::new());
         }
         self.history.mark_explained(request);
@@ -290,8 +296,8 @@
 
     /// Releases requests whose crashes are all attributed to others by now.
     fn release_exonerated(&mut self, now: Moment) -> Vec<QuarantineChange> {
-        let held = self.table.rows().filter(|(_, row)| row.phase == QuarantinePhase::Held);
-        let exonerated = held.filter(|(request, _)| {
+        let quarantined = self.table.rows().filter(|(_, row)| row.phase == QuarantinePhase::Quarantined);
+        let exonerated = quarantined.filter(|(request, _)| {
             let verdict = self.history.verdict(*request);
             verdict.crashes > 0 && verdict.counted == 0
         });
@@ -308,8 +314,8 @@
 fn message_of(request: RequestKey, row: &QuarantinedRequest, now: Moment) -> QuarantineMessage {
     let QuarantinedRequest { round, crashes: endings, until, .. } = *row;
     match row.phase {
-        QuarantinePhase::Lifted => QuarantineMessage::Lifted { request, round },
-        QuarantinePhase::Held | QuarantinePhase::Trial => {
+        QuarantinePhase::Released => QuarantineMessage::Lifted { request, round },
+        QuarantinePhase::Quarantined | QuarantinePhase::Probation => {
             QuarantineMessage::Held { request, round, endings, rest_micros: until.micros_since(now) }
         }
     }
--- a/crates/decide/tests/crash_history.rs
+++ b/crates/decide/tests/crash_history.rs
@@ -20,7 +20,7 @@
 /// Returns the crash of the `start`th endpoint that ever ran, one of 18, at an address of its own.
 fn crash(start: u64, at: u64) -> EndpointCrash {
     let start = EndpointKey(start);
-    EndpointCrash { start, place: start.0 + 1_000, service: 7, among: 18, at: Moment(at) }
+    EndpointCrash { start, address_digest: start.0 + 1_000, service: 7, service_size: 18, at: Moment(at) }
 }
 
 fn report(number: u64, crash: EndpointCrash, age_millis: u64) -> CrashReport {
@@ -65,7 +65,7 @@
 fn service_of_one_endpoint_needs_at_most_six_crashes() {
     let mut history = CrashHistory::default();
     for born in 0..6 {
-        let mut crash = EndpointCrash { among: 1, ..crash(1, born * 4 * MICROS_PER_SECOND) };
+        let mut crash = EndpointCrash { service_size: 1, ..crash(1, born * 4 * MICROS_PER_SECOND) };
         crash.start = EndpointKey::of_incarnation("i-1", Some(born));
         history.add_report(&report(1, crash, 150));
     }
@@ -126,8 +126,11 @@
 fn repeated_crashes_at_one_address_make_no_request_fatal() {
     // Its address is the same each time, and other requests run there too.
     let mut history = CrashHistory::default();
-    let at_same_address =
-        |start: u64| EndpointCrash { place: 5, among: 5_500, ..crash(start, start * MICROS_PER_SECOND) };
+    let at_same_address = |start: u64| EndpointCrash {
+        address_digest: 5,
+        service_size: 5_500,
+        ..crash(start, start * MICROS_PER_SECOND)
+    };
     for start in 0..30 {
         history.add_report(&report(start % 5, at_same_address(start), 200));
     }
@@ -244,8 +247,8 @@
         let mut ended = Vec::new();
         for place in crashing {
             let start = EndpointKey(starts[place]);
-            let (at, among) = (Moment(now), endpoints as u32);
-            let end = EndpointCrash { start, place: place as u64, service: 1, among, at };
+            let (at, service_size) = (Moment(now), endpoints as u32);
+            let end = EndpointCrash { start, address_digest: place as u64, service: 1, service_size, at };
             history.record_crash(end);
             for run in std::mem::take(&mut runs[place]) {
                 let age_micros = now - run.begun_at;
--- a/crates/decide/tests/request_quarantine.rs
+++ b/crates/decide/tests/request_quarantine.rs
@@ -20,7 +20,7 @@
 
 fn report(number: u64, start: u64, at: Moment) -> CrashReport {
     let start = EndpointKey(start);
-    let crash = EndpointCrash { start, place: start.0, service: 1, among: 18, at };
+    let crash = EndpointCrash { start, address_digest: start.0, service: 1, service_size: 18, at };
     CrashReport { request: request(number), crash, age_micros: 60_000 }
 }
 
@@ -251,7 +251,7 @@
     quarantine.record_written(due, &row, Moment::NEVER);
     quarantine.adopt_stored(due, (row.round, row.crashes), at);
     let (due, row) = quarantine.due_write(at).unwrap();
-    assert_eq!((due, row.phase), (request(1), QuarantinePhase::Lifted));
+    assert_eq!((due, row.phase), (request(1), QuarantinePhase::Released));
     quarantine.record_written(due, &row, Moment::NEVER);
     assert_eq!(quarantine.due_write(Moment(at.0 + MICROS_PER_SECOND)), None);
 }
@@ -265,7 +265,7 @@
     assert_eq!(table.begin(request(1_000), 3, Moment(1_000)), None);
     table.release(request(5), Moment(2_000));
     assert_eq!(table.begin(request(1_000), 3, Moment(3_000)), Some(1));
-    assert_eq!(table.rows().filter(|(_, row)| row.phase == QuarantinePhase::Held).count(), 512);
+    assert_eq!(table.rows().filter(|(_, row)| row.phase == QuarantinePhase::Quarantined).count(), 512);
 }
 
 #[test]
--- a/crates/gateway/src/memory/memory_limiter.rs
+++ b/crates/gateway/src/memory/memory_limiter.rs
@@ -14,7 +14,7 @@
 /// Reservations, and the signal of each one's eviction.
 #[derive(Debug)]
 struct LimiterState {
-    held: HeldBytes,
+    held_bytes: HeldBytes,
     evictions: HashMap<ReservationId, watch::Sender<bool>>,
 }
 
@@ -25,14 +25,14 @@
 impl MemoryLimiter {
     /// Creates a limiter for a VM with `memory_mb` megabytes.
     pub(crate) fn new(memory_mb: f64) -> Self {
-        let held = HeldBytes::new((memory_mb * BYTES_PER_MEGABYTE * HELD_FRACTION) as u64);
-        Self(Arc::new(Mutex::new(LimiterState { held, evictions: HashMap::new() })))
+        let held_bytes = HeldBytes::new((memory_mb * BYTES_PER_MEGABYTE * HELD_FRACTION) as u64);
+        Self(Arc::new(Mutex::new(LimiterState { held_bytes, evictions: HashMap::new() })))
     }
 
     /// Creates a reservation that may be evicted until eviction is disabled.
     pub(crate) fn reserve(&self) -> MemoryReservation {
         let mut state = self.state();
-        let id = state.held.begin();
+        let id = state.held_bytes.begin();
         let (sender, evicted) = watch::channel(false);
         state.evictions.insert(id, sender);
         drop(state);
@@ -41,7 +41,7 @@
 
     /// Returns the bytes that are reserved.
     pub(crate) fn total(&self) -> u64 {
-        self.state().held.total()
+        self.state().held_bytes.total()
     }
 
     fn state(&self) -> MutexGuard<'_, LimiterState> {
@@ -61,7 +61,7 @@
     /// Adds bytes. If the bound is exceeded, the largest reservations are evicted.
     pub(crate) fn grow(&self, bytes: usize) {
         let mut state = self.limiter.state();
-        for evicted in state.held.grow(self.id, bytes as u64) {
+        for evicted in state.held_bytes.grow(self.id, bytes as u64) {
             if let Some(sender) = state.evictions.remove(&evicted) {
                 sender.send_replace(true);
             }
@@ -70,12 +70,12 @@
 
     /// Removes bytes.
     pub(crate) fn shrink(&self, bytes: usize) {
-        self.limiter.state().held.shrink(self.id, bytes as u64);
+        self.limiter.state().held_bytes.shrink(self.id, bytes as u64);
     }
 
     /// Protects the reservation from eviction.
     pub(crate) fn disable_eviction(&self) {
-        self.limiter.state().held.pin(self.id);
+        self.limiter.state().held_bytes.pin(self.id);
     }
 
     /// Whether it was evicted, because it was the largest.
@@ -96,7 +96,7 @@
 impl Drop for MemoryReservation {
     fn drop(&mut self) {
         let mut state = self.limiter.state();
-        state.held.release(self.id);
+        state.held_bytes.release(self.id);
         state.evictions.remove(&self.id);
     }
 }
--- a/crates/gateway/src/operators/operator_port.rs
+++ b/crates/gateway/src/operators/operator_port.rs
@@ -22,7 +22,7 @@
 use tokio::net::TcpListener;
 
 /// Path of the list of quarantined requests.
-const HELD_PATH: &str = "/held";
+const QUARANTINE_PATH: &str = "/held";
 /// Path of this VM's status.
 const STATUS_PATH: &str = "/status";
 /// Last segment of the path that releases a request from quarantine, after the request's digest.
@@ -75,7 +75,7 @@
     if request.uri().path() == STATUS_PATH {
         return json_of(&GatewayStatus::of(gateway));
     }
-    match (request.method(), request.uri().path().strip_prefix(HELD_PATH)) {
+    match (request.method(), request.uri().path().strip_prefix(QUARANTINE_PATH)) {
         (&Method::GET, Some("")) => list_quarantined(gateway),
         (&Method::POST, Some(path)) => release_quarantined(gateway, path),
         _ => answer_readiness(gateway, request),
--- a/crates/gateway/src/quarantine/quarantine_task.rs
+++ b/crates/gateway/src/quarantine/quarantine_task.rs
@@ -48,7 +48,10 @@
     let (expired, held_count) = {
         let mut tracker = gateway.quarantine_tracker();
         let expired = tracker.quarantine.sweep(now);
-        (expired, tracker.quarantine.rows().filter(|(_, row)| row.phase == QuarantinePhase::Held).count())
+        (
+            expired,
+            tracker.quarantine.rows().filter(|(_, row)| row.phase == QuarantinePhase::Quarantined).count(),
+        )
     };
     gateway.metrics.held_requests.set(held_count as i64);
     for (request, row) in expired {
@@ -82,9 +85,9 @@
                 return;
             };
             let is_done = match row.phase {
-                QuarantinePhase::Held => self.write(request, &row).await,
-                QuarantinePhase::Trial => true,
-                QuarantinePhase::Lifted => self.remove(request).await,
+                QuarantinePhase::Quarantined => self.write(request, &row).await,
+                QuarantinePhase::Probation => true,
+                QuarantinePhase::Released => self.remove(request).await,
             };
             let retry_at =
                 if is_done { Moment::NEVER } else { self.gateway.now().after_millis(RETRY_DELAY_MILLIS) };
--- a/crates/gateway/src/quarantine/quarantine_tracker.rs
+++ b/crates/gateway/src/quarantine/quarantine_tracker.rs
@@ -248,8 +248,8 @@
 /// Returns the label of a phase.
 const fn phase_label(phase: QuarantinePhase) -> &'static str {
     match phase {
-        QuarantinePhase::Held => "held",
-        QuarantinePhase::Trial => "trial",
-        QuarantinePhase::Lifted => "lifted",
+        QuarantinePhase::Quarantined => "held",
+        QuarantinePhase::Probation => "trial",
+        QuarantinePhase::Released => "lifted",
     }
 }
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -524,7 +524,7 @@
                 self.record_replaced(&flight);
                 return SendResult::Replaced;
             }
-            flight.record_refusal(facts.rest_millis.value());
+            flight.record_refusal(facts.backoff_millis.value());
             if head.status == StatusCode::MISDIRECTED_REQUEST {
                 self.gateway.table().revert_weights(flight.key);
             }
--- a/crates/gateway/src/requests/request_run.rs
+++ b/crates/gateway/src/requests/request_run.rs
@@ -244,12 +244,12 @@
             .row(flight.key)
             .filter(|row| !row.has_announced_departure() && row.grace_deadline.is_none())?;
         let service = &row.entry.service;
-        let among = table.rows_of(service).filter(|(_, row)| !row.is_departing(now)).count();
+        let service_size = table.rows_of(service).filter(|(_, row)| !row.is_departing(now)).count();
         Some(EndpointCrash {
             start: flight.key,
-            place: short_digest(&flight.address.to_string()),
+            address_digest: short_digest(&flight.address.to_string()),
             service: short_digest(service),
-            among: among as u32,
+            service_size: service_size as u32,
             at: now,
         })
     }
--- a/crates/gateway/src/store/lease_keeper.rs
+++ b/crates/gateway/src/store/lease_keeper.rs
@@ -94,7 +94,7 @@
         lease_safe_until: Moment(0),
         free_since: None,
         terms: LeaseTerms::for_name_index(None),
-        peers_known_at: gateway.now().after_millis(STARTUP_DELAY_MILLIS),
+        peers_listed_at: gateway.now().after_millis(STARTUP_DELAY_MILLIS),
         failures: 0,
         right,
         gateway,
@@ -135,7 +135,7 @@
     /// Terms of the current lease.
     terms: LeaseTerms,
     /// The VMs that started together with this one are recorded from then on.
-    peers_known_at: Moment,
+    peers_listed_at: Moment,
     /// Consecutive failed calls.
     failures: u32,
     right: watch::Sender<OrderRight>,
@@ -154,7 +154,7 @@
 
     /// Returns this VM's index by name; none until the VMs that started together are recorded.
     fn name_index(&self) -> Option<usize> {
-        (self.gateway.now() >= self.peers_known_at).then(|| self.gateway.peers().own_name_index())
+        (self.gateway.now() >= self.peers_listed_at).then(|| self.gateway.peers().own_name_index())
     }
 
     /// Whether the current lease is longer than that of a candidate. A new lease is then taken first.
--- a/crates/gateway/src/store/store_view.rs
+++ b/crates/gateway/src/store/store_view.rs
@@ -323,10 +323,10 @@
 
     fn apply_quarantine(&self, digest: &str, item: &StoreItem) {
         let request = digest.parse::<RequestKey>().map_err(|error| error.to_string());
-        let stored_hold =
+        let quarantine =
             serde_json::from_slice::<StoredQuarantine>(&item.value).map_err(|error| error.to_string());
-        match request.and_then(|request| Ok((request, stored_hold?))) {
-            Ok((request, stored_hold)) => self.gateway.apply_stored_quarantine(request, &stored_hold),
+        match request.and_then(|request| Ok((request, quarantine?))) {
+            Ok((request, quarantine)) => self.gateway.apply_stored_quarantine(request, &quarantine),
             Err(cause) => {
                 log::error!(key = item.key.as_str(), cause = cause.as_str(); "quarantine.unreadable");
             }
@@ -343,9 +343,9 @@
                 let service = &row.entry.service;
                 EndpointCrash {
                     start: key,
-                    place: short_digest(&row.entry.address.to_string()),
+                    address_digest: short_digest(&row.entry.address.to_string()),
                     service: short_digest(service),
-                    among: table.rows_of(service).count() as u32,
+                    service_size: table.rows_of(service).count() as u32,
                     at: Moment(now.0.saturating_sub(ENTRY_EXPIRY_DELAY_MICROS)),
                 }
             });
