--- a/crates/decide/src/admit/placement.rs
+++ b/crates/decide/src/admit/placement.rs
@@ -61,7 +61,7 @@
     pub service: &'a str,
     /// Data centre of this VM.
     pub data_centre: &'a str,
-    /// Data centres that appear to be cut off.
+    /// Data centres that appear unreachable.
     pub unreachable_data_centres: &'a [&'a str],
     /// Segments of the prompt; empty for plain services.
     pub segments: &'a [PromptSegment],
--- a/crates/decide/src/fleet/fleet_versions.rs
+++ b/crates/decide/src/fleet/fleet_versions.rs
@@ -4,7 +4,7 @@
 use spanfold_entity::Moment;
 
 impl FleetTable {
-    /// Returns the test order of the last canary endpoint for a share of the requests.
+    /// Returns the canary order of the last canary endpoint for a share of the requests.
     ///
     /// None if no endpoint of the version takes work.
     pub fn last_canary_order(&self, service: &str, version: &str, share: f64, now: Moment) -> Option<u64> {
--- a/crates/decide/src/kept/store_row.rs
+++ b/crates/decide/src/kept/store_row.rs
@@ -216,7 +216,7 @@
     }
 
     /// Records that a segment is being sent there for a request of another VM: it takes space, but this VM
-    /// can't tell whether the engine there needed to send it.
+    /// cannot determine whether the engine there needed to send it.
     pub fn record_remote_request(&mut self, key: u64, tokens: u32, now: Moment) {
         if !self.pending_saves.get(&key).is_some_and(|save| save.is_own) {
             self.record_pending(
--- a/crates/gateway/src/endpoints/answer_facts.rs
+++ b/crates/gateway/src/endpoints/answer_facts.rs
@@ -115,9 +115,9 @@
     /// Requests per second that the endpoint takes from all VMs together.
     pub limit: HeaderField<f64>,
     /// Whether the endpoint is departing.
-    pub departing: HeaderField<bool>,
+    pub leaving: HeaderField<bool>,
     /// Backoff that the endpoint requests from this VM, in milliseconds; only with a refusal.
-    pub backoff_millis: HeaderField<u64>,
+    pub rest_millis: HeaderField<u64>,
     /// Version of the weights that the answer was computed with.
     pub weights: HeaderField<u64>,
     /// Time for which the endpoint stays cold, in milliseconds.
--- a/crates/gateway/src/endpoints/answer_handler.rs
+++ b/crates/gateway/src/endpoints/answer_handler.rs
@@ -173,16 +173,16 @@
     /// endpoint its work, an ignored one costs callers their requests.
     fn observe_departure(&self, source: &AnswerSource<'_>, facts: &AnswerFacts) {
         let is_departing =
-            matches!(facts.departing, HeaderField::Invalid(_)) || facts.departing.value() == Some(true);
+            matches!(facts.leaving, HeaderField::Invalid(_)) || facts.leaving.value() == Some(true);
         if is_departing {
             self.record_departure(source, DepartureSource::Answer);
         }
     }
 
     fn observe_backoff(&self, source: &AnswerSource<'_>, facts: &AnswerFacts) {
-        let Some(label) = facts.backoff_millis.label() else { return };
+        let Some(label) = facts.rest_millis.label() else { return };
         self.metrics.rests.get_or_create(&KindLabel::new(label)).inc();
-        let Some(asked_ms) = facts.backoff_millis.value() else { return };
+        let Some(asked_ms) = facts.rest_millis.value() else { return };
         let mut table = self.table();
         let (backoff_ms, extends) = match table.record_backoff(source.key, asked_ms, self.now()) {
             BackoffChange::None => return,
@@ -273,8 +273,8 @@
     fn log_invalid_headers(&self, source: &AnswerSource<'_>, facts: &AnswerFacts) {
         let causes = [
             ("limit", facts.limit.cause("the limit")),
-            ("leaving", facts.departing.cause("the departure")),
-            ("rest", facts.backoff_millis.cause("the rest")),
+            ("leaving", facts.leaving.cause("the departure")),
+            ("rest", facts.rest_millis.cause("the rest")),
             ("weights", facts.weights.cause("the version of weights")),
             ("cold", facts.cold_millis.cause("the time of being cold")),
         ];
--- a/crates/gateway/src/orders/publication_task.rs
+++ b/crates/gateway/src/orders/publication_task.rs
@@ -3,7 +3,7 @@
 //! The records are in the platform's store.
 //!
 //! VMs propagate how long ago each version was published. Once every VM that recorded this has stopped, VMs
-//! that start learn the newest version from the store, but not its age. So the one holder of the right writes
+//! that start read the newest version from the store, but not its age. So the one holder of the right writes
 //! the time of each publication, and a new holder reads it; the other VMs receive it with the holder's load
 //! digests.
 //!
--- a/crates/gateway/src/peers/cache_index_task.rs
+++ b/crates/gateway/src/peers/cache_index_task.rs
@@ -170,7 +170,7 @@
         },
         Ok(CallReply { status: BUSY_STATUS, headers, .. }) => {
             let answer = (gateway.dialect.decoders.answer)(StatusCode::TOO_MANY_REQUESTS, &headers);
-            return Err(PollFailure::Busy(answer.backoff_millis.value().unwrap_or_default()));
+            return Err(PollFailure::Busy(answer.rest_millis.value().unwrap_or_default()));
         }
         Ok(CallReply { status, .. }) => format!("status {status}"),
         Err(error) => error.to_string(),
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -524,7 +524,7 @@
                 self.record_replaced(&flight);
                 return SendResult::Replaced;
             }
-            flight.record_refusal(facts.backoff_millis.value());
+            flight.record_refusal(facts.rest_millis.value());
             if head.status == StatusCode::MISDIRECTED_REQUEST {
                 self.gateway.table().revert_weights(flight.key);
             }
@@ -534,7 +534,7 @@
         }
         self.may_have_run = true;
         if facts.request_id.as_ref() != Some(&self.context.id) {
-            // This request's answer may still follow, but cannot be told apart from more surplus ones.
+            // This request's answer may still follow, but cannot be distinguished from more surplus ones.
             flight.record_outcome(SendOutcome::Failed);
             return SendResult::Lost("an answer to another request");
         }
