--- a/crates/spanfoldd/src/burn.rs
+++ b/crates/spanfoldd/src/burn.rs
@@ -1,7 +1,7 @@
-//! Service-level burn: how fast each account's error budget is spent.
+//! Burn rates of service-level objectives: how fast each account spends its error budget.
 //!
-//! Invariant: counts are kept in minute buckets for the longest window and no longer, so memory is
-//! bounded by accounts with traffic. A burn rate of 1 spends exactly the budget.
+//! Invariant: counts are retained in minute buckets for the longest window only, so the number of
+//! accounts with traffic bounds the memory. A burn rate of 1 spends exactly the budget.
 
 use serde::{Deserialize, Serialize};
 use spanfold_declare::{Catalogue, ObjectiveKind};
@@ -10,9 +10,9 @@
 use std::sync::{Mutex, PoisonError};
 
 /// Windows of the report, in minutes.
-const WINDOWS: [u64; 4] = [5, 60, 360, 1_440];
+const WINDOWS_MINUTES: [u64; 4] = [5, 60, 360, 1_440];
 
-/// What became of one request, as objectives see it.
+/// The outcome of one request, as objectives measure it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServedSample {
     pub first_token_millis: Option<u64>,
@@ -27,7 +27,7 @@
     total: u64,
 }
 
-/// Good and total requests of one window.
+/// Numbers of good and of all requests in one window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct WindowCount {
     pub minutes: u64,
@@ -35,7 +35,7 @@
     pub total: u64,
 }
 
-/// One account's counts under one objective.
+/// The counts of one account under one objective.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct BurnRow {
     pub account: String,
@@ -46,16 +46,16 @@
 
 type BurnKey = (String, String);
 
-/// Counts of this VM.
+/// The counts of this VM, by account and objective.
 #[derive(Debug, Default)]
-pub(crate) struct BurnBook(Mutex<BTreeMap<BurnKey, VecDeque<MinuteBucket>>>);
+pub(crate) struct BurnTable(Mutex<BTreeMap<BurnKey, VecDeque<MinuteBucket>>>);
 
-impl BurnBook {
-    /// Counts one request of `account` under all objectives that select it.
-    pub(crate) fn count(&self, catalogue: &Catalogue, account: &str, sample: ServedSample, now: Moment) {
+impl BurnTable {
+    /// Records one request of `account` under all objectives that select the account.
+    pub(crate) fn record(&self, catalogue: &Catalogue, account: &str, sample: ServedSample, now: Moment) {
         let Some(declared) = catalogue.declarations.accounts.get(account) else { return };
         let minute = now.0 / (60 * MICROS_PER_SECOND);
-        let mut book = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut table = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         for objective in catalogue.declarations.objectives.values() {
             if !objective.accounts.matches(&declared.labels) {
                 continue;
@@ -67,11 +67,11 @@
                 ObjectiveKind::Answer => within(sample.answer_millis),
                 ObjectiveKind::Availability => sample.answered,
             };
-            let buckets = book.entry((account.to_owned(), objective.name.clone())).or_default();
+            let buckets = table.entry((account.to_owned(), objective.name.clone())).or_default();
             if buckets.back().is_none_or(|bucket| bucket.minute != minute) {
                 buckets.push_back(MinuteBucket { minute, good: 0, total: 0 });
             }
-            while buckets.front().is_some_and(|bucket| bucket.minute + WINDOWS[3] <= minute) {
+            while buckets.front().is_some_and(|bucket| bucket.minute + WINDOWS_MINUTES[3] <= minute) {
                 buckets.pop_front();
             }
             if let Some(bucket) = buckets.back_mut() {
@@ -81,16 +81,20 @@
         }
     }
 
-    /// The counts of all windows that end at `now`.
+    /// Returns the counts of all windows that end at `now`.
     pub(crate) fn rows(&self, catalogue: &Catalogue, now: Moment) -> Vec<BurnRow> {
         let minute = now.0 / (60 * MICROS_PER_SECOND);
-        let book = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        book.iter()
+        let table = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        table
+            .iter()
             .map(|((account, objective), buckets)| BurnRow {
                 account: account.clone(),
                 objective: objective.clone(),
                 target: catalogue.declarations.objectives.get(objective).map_or(0.0, |o| o.target),
-                windows: WINDOWS.iter().map(|minutes| count_window(buckets, minute, *minutes)).collect(),
+                windows: WINDOWS_MINUTES
+                    .iter()
+                    .map(|minutes| count_window(buckets, minute, *minutes))
+                    .collect(),
             })
             .collect()
     }
--- a/crates/spanfoldd/src/caller/completion.rs
+++ b/crates/spanfoldd/src/caller/completion.rs
@@ -1,15 +1,15 @@
-//! Completions: from a caller's request to the whole answer.
+//! Completions, from a caller's request to the complete answer.
 
+use crate::block_key::derive_cache_salt;
 use crate::burn::ServedSample;
+use crate::caller::admission_gate::{AdmissionGate, spend_retry};
 use crate::caller::frame_reader::{DONE, FrameReader};
-use crate::caller::gate::{OpenGate, take_retry};
-use crate::caller::recovery::{RunEvent, RunPump};
 use crate::caller::request::{CompletionCall, authenticate, check_completion, read_limited};
+use crate::caller::run_forwarder::{RunEvent, RunForwarder};
 use crate::caller::{BoxError, CallerBody, FinalError, full_body};
 use crate::endpoint_client::CallError;
-use crate::piece_key::salt_of;
 use crate::probe::address_of;
-use crate::secret::StreamPlace;
+use crate::secret::StreamLocation;
 use crate::shared::SharedState;
 use bytes::{BufMut, Bytes, BytesMut};
 use http_body_util::{BodyExt, Full, StreamBody};
@@ -23,17 +23,17 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Endpoints that one request is tried at.
-const ATTEMPTS: usize = 3;
-/// An engine that does not answer a probe for this long has failed.
-const LIFE_SIGN: Duration = Duration::from_secs(1);
-/// Events that wait for a slow caller.
-const EVENT_LINE: usize = 64;
+/// Endpoints at which one request is attempted.
+const MAX_ATTEMPTS: usize = 3;
+/// Time after which an engine that has not answered a liveness probe counts as failed.
+const LIVENESS_TIMEOUT: Duration = Duration::from_secs(1);
+/// Bound on events queued for a slow caller.
+const MAX_QUEUED_EVENTS: usize = 64;
 
-/// A run whose first token is out.
+/// A run whose first token was generated.
 #[derive(Debug)]
 pub(crate) struct StartedRun {
-    pub place: StreamPlace,
+    pub location: StreamLocation,
     pub reader: FrameReader,
     pub usage: Usage,
 }
@@ -53,23 +53,23 @@
     }
     let bytes = read_limited(shared, body, shared.settings.body_bytes).await?;
     let call = Arc::new(check_completion(shared, account, &head.headers, &bytes, chat)?);
-    let gate = OpenGate::new(shared);
+    let gate = AdmissionGate::new(shared);
     let result = start_run(shared, &call, &gate, &mut Vec::new(), "").await;
     let run = match result {
         Ok(run) => run,
         Err(error) => {
-            count_burn(shared, &call.account, ServedSample::default());
+            record_sample(shared, &call.account, ServedSample::default());
             return Err(error);
         }
     };
     let first_token = shared.now().micros_since(arrived);
     shared.metrics.first_token_seconds.observe(first_token as f64 / 1e6);
-    count_usage(shared, run.usage);
-    let (sender, events) = mpsc::channel(EVENT_LINE);
+    record_usage(shared, run.usage);
+    let (sender, events) = mpsc::channel(MAX_QUEUED_EVENTS);
     let usage = run.usage;
-    let token = shared.keys.stream_token(&call.account, &run.place);
-    let pump = RunPump::new(shared, &call, gate, run, arrived, first_token / MICROS_PER_MILLI);
-    tokio::spawn(pump.drive(sender));
+    let token = shared.keys.stream_token(&call.account, &run.location);
+    let forwarder = RunForwarder::new(shared, &call, gate, run, arrived, first_token / MICROS_PER_MILLI);
+    tokio::spawn(forwarder.run(sender));
     if call.stream {
         Ok(stream_response(events, token, usage))
     } else {
@@ -77,11 +77,11 @@
     }
 }
 
-pub(crate) fn count_burn(shared: &SharedState, account: &str, sample: ServedSample) {
-    shared.burn.count(&shared.catalogue().1, account, sample, shared.now());
+pub(crate) fn record_sample(shared: &SharedState, account: &str, sample: ServedSample) {
+    shared.burn.record(&shared.catalogue().1, account, sample, shared.now());
 }
 
-fn count_usage(shared: &SharedState, usage: Usage) {
+fn record_usage(shared: &SharedState, usage: Usage) {
     for (kind, tokens) in
         [("cached", usage.cached), ("imported", usage.imported), ("computed", usage.computed)]
     {
@@ -89,13 +89,13 @@
     }
 }
 
-/// Gets an endpoint and its first token, at another endpoint if one fails.
+/// Starts a run at an endpoint, and at another one if the first fails.
 pub(crate) async fn start_run(
     shared: &Arc<SharedState>,
     call: &CompletionCall,
-    gate: &OpenGate,
+    gate: &AdmissionGate,
     exclude: &mut Vec<String>,
-    said: &str,
+    sent_text: &str,
 ) -> Result<StartedRun, FinalError> {
     for attempt in 0.. {
         let arrival = Arrival {
@@ -109,31 +109,34 @@
             priority: call.priority,
             exclude: exclude.clone(),
         };
-        let to = gate.arrive(arrival).await?;
+        let target = gate.admit(arrival).await?;
         let stream = format!("{}-{:x}-{}", shared.settings.name, gate.number, exclude.len());
-        let place = StreamPlace { endpoint: to.endpoint.clone(), stream };
-        let failure = match try_endpoint(shared, call, &place, to.import.as_ref(), to.priority, said).await {
-            Ok(run) => {
-                gate.progress(Outcome::FirstToken(run.usage));
-                return Ok(run);
-            }
-            Err(failure) => failure,
-        };
-        log::info!(endpoint = to.endpoint.as_str(), error:% = failure; "endpoint.failed");
-        gate.failed(if matches!(failure, CallError::NotSent(_)) {
+        let location = StreamLocation { endpoint: target.endpoint.clone(), stream };
+        let failure =
+            match try_endpoint(shared, call, &location, target.import.as_ref(), target.priority, sent_text)
+                .await
+            {
+                Ok(run) => {
+                    gate.report_progress(Outcome::FirstToken(run.usage));
+                    return Ok(run);
+                }
+                Err(failure) => failure,
+            };
+        log::info!(endpoint = target.endpoint.as_str(), error:% = failure; "endpoint.failed");
+        gate.report_failure(if matches!(failure, CallError::NotSent(_)) {
             FailureKind::Refused
         } else {
             FailureKind::Broken
         });
-        exclude.push(to.endpoint);
-        if attempt + 1 >= ATTEMPTS || !take_retry() || shared.now() >= call.deadline {
-            return Err(give_up(&failure));
+        exclude.push(target.endpoint);
+        if attempt + 1 >= MAX_ATTEMPTS || !spend_retry() || shared.now() >= call.deadline {
+            return Err(final_attempt_error(&failure));
         }
     }
     unreachable!("the loop ends by a return")
 }
 
-fn give_up(failure: &CallError) -> FinalError {
+fn final_attempt_error(failure: &CallError) -> FinalError {
     match failure {
         CallError::NotSent(_) => {
             FinalError::not_run("endpoint_refused", "no endpoint took the request", 1_000)
@@ -147,68 +150,71 @@
 async fn try_endpoint(
     shared: &SharedState,
     call: &CompletionCall,
-    place: &StreamPlace,
+    location: &StreamLocation,
     import: Option<&Import>,
     priority: i8,
-    said: &str,
+    sent_text: &str,
 ) -> Result<StartedRun, CallError> {
     let not_sent = |cause: &str| CallError::NotSent(cause.to_owned());
-    let address = address_of(shared, &place.endpoint).ok_or_else(|| not_sent("not declared any more"))?;
-    let body = engine_body(shared, call, place, import, priority, said);
+    let address = address_of(shared, &location.endpoint).ok_or_else(|| not_sent("not declared any more"))?;
+    let body = engine_body(shared, call, location, import, priority, sent_text);
     let path = if call.chat { "/v1/chat/completions" } else { "/v1/completions" };
     let request = Request::post(format!("http://{address}{path}"))
         .header("content-type", "application/json")
         .body(Full::new(Bytes::from(body.to_string())))
         .map_err(|error| CallError::NotSent(error.to_string()))?;
-    let Some(answer) = first_answer(shared, call, &address, request).await else {
-        cancel(shared, place).await;
-        return Err(CallError::Unknown("no first token in time".to_owned()));
+    let Some(answer) = wait_for_answer(shared, call, &address, request).await else {
+        cancel(shared, location).await;
+        return Err(CallError::Unknown(
+            "no first token by the deadline, or the liveness probe failed".to_owned(),
+        ));
     };
     let response = answer?;
     match response.status().as_u16() {
         200 => {}
-        // Refused before running: it leaves, or has another weight version.
+        // Refused before running: the engine is departing, or has another weight version.
         status @ (409 | 503) => return Err(CallError::NotSent(format!("refused with {status}"))),
         status => return Err(CallError::Unknown(format!("answered {status}"))),
     }
     let usage = read_usage(response.headers());
-    Ok(StartedRun { place: place.clone(), reader: FrameReader::new(response.into_body()), usage })
+    Ok(StartedRun { location: location.clone(), reader: FrameReader::new(response.into_body()), usage })
 }
 
-/// Waits for the first token until the deadline, as long as the engine shows signs of life.
+/// Waits for the engine's answer until the deadline, as long as liveness probes succeed.
 ///
-/// A long prompt keeps a healthy engine silent for seconds, and a frozen one looks the same: so
-/// each time it has been silent for a while it is probed, and given up on if the probe fails.
-async fn first_answer(
+/// A healthy engine sends nothing for seconds during the prefill of a long prompt, just as a frozen
+/// one does. After each stall timeout without an answer the engine is therefore probed; a failed
+/// probe ends the wait.
+async fn wait_for_answer(
     shared: &SharedState,
     call: &CompletionCall,
     address: &str,
     request: Request<Full<Bytes>>,
 ) -> Option<Result<Response<Incoming>, CallError>> {
-    let stall = Duration::from_millis(shared.settings.stall_millis);
+    let stall_timeout = Duration::from_millis(shared.settings.stall_millis);
     let answer = shared.endpoints.send(request);
     tokio::pin!(answer);
     loop {
-        let left = shared.until(call.deadline);
-        if left.is_zero() {
+        let remaining = shared.time_until(call.deadline);
+        if remaining.is_zero() {
             return None;
         }
-        if let Ok(answer) = tokio::time::timeout(stall.min(left), &mut answer).await {
+        if let Ok(answer) = tokio::time::timeout(stall_timeout.min(remaining), &mut answer).await {
             return Some(answer);
         }
         let probe = Request::get(format!("http://{address}/healthz")).body(Full::default()).ok()?;
-        shared.endpoints.read(probe, LIFE_SIGN).await.ok()?;
+        shared.endpoints.read(probe, LIVENESS_TIMEOUT).await.ok()?;
     }
 }
 
-/// The caller's body with what the engine needs beyond it.
+/// Returns the caller's body with the fields that the engine needs in addition.
 fn engine_body(
     shared: &SharedState,
     call: &CompletionCall,
-    place: &StreamPlace,
+    location: &StreamLocation,
     import: Option<&Import>,
     priority: i8,
-    said: &str,
+    sent_text: &str,
 ) -> Value {
     let import: Vec<Value> = import
         .and_then(|import| {
@@ -223,21 +229,21 @@
     let mut body = call.body.clone();
     body.insert("stream".to_owned(), json!(true));
     body.insert("max_tokens".to_owned(), json!(call.max_tokens));
-    body.insert("cache_salt".to_owned(), json!(salt_of(&shared.keys, &call.account)));
+    body.insert("cache_salt".to_owned(), json!(derive_cache_salt(&shared.keys, &call.account)));
     body.insert("priority".to_owned(), json!(priority));
     body.insert("version".to_owned(), json!(call.version));
-    body.insert("stream_id".to_owned(), json!(place.stream));
+    body.insert("stream_id".to_owned(), json!(location.stream));
     body.insert("kv".to_owned(), json!({ "keys": call.keys.full, "import": import }));
-    if !said.is_empty() {
-        body.insert("continue_from".to_owned(), json!(said));
+    if !sent_text.is_empty() {
+        body.insert("continue_from".to_owned(), json!(sent_text));
     }
     Value::Object(body)
 }
 
-/// Tells the engine that nobody waits for a run any more.
-pub(crate) async fn cancel(shared: &SharedState, place: &StreamPlace) {
-    let Some(address) = address_of(shared, &place.endpoint) else { return };
-    let url = format!("http://{address}/v1/streams/{}", place.stream);
+/// Cancels a run at its engine when no caller waits for it any more.
+pub(crate) async fn cancel(shared: &SharedState, location: &StreamLocation) {
+    let Some(address) = address_of(shared, &location.endpoint) else { return };
+    let url = format!("http://{address}/v1/streams/{}", location.stream);
     if let Ok(request) = Request::delete(url).body(Full::default()) {
         let timeout = Duration::from_secs(1);
         if let Err(error) = shared.endpoints.read(request, timeout).await {
@@ -263,22 +269,23 @@
     usage
 }
 
-/// Goes on with a stream that a caller lost, whichever VM it began at.
+/// Resumes a stream that a caller lost, whichever VM the stream started at.
 async fn resume(
     shared: &Arc<SharedState>,
     account: &str,
     id: &str,
 ) -> Result<Response<CallerBody>, FinalError> {
     let forbidden = || FinalError::bad_request(403, "resume_forbidden", "the event id is not this account's");
-    let (place, offset) = shared.keys.read_event_id(account, id).ok_or_else(forbidden)?;
-    let token = shared.keys.stream_token(account, &place);
-    let reader = crate::caller::recovery::reopen(shared, &place, offset + 1).await.ok_or_else(|| {
-        let message = "the rest of the answer is lost: it is incomplete";
-        FinalError::ran(410, "incomplete", message, RanState::Yes)
-    })?;
-    let (sender, events) = mpsc::channel(EVENT_LINE);
-    let pump = RunPump::resumed(shared, place, reader, offset + 1);
-    tokio::spawn(pump.drive(sender));
+    let (location, offset) = shared.keys.read_event_id(account, id).ok_or_else(forbidden)?;
+    let token = shared.keys.stream_token(account, &location);
+    let reader =
+        crate::caller::run_forwarder::reopen(shared, &location, offset + 1).await.ok_or_else(|| {
+            let message = "the rest of the answer is lost: it is incomplete";
+            FinalError::ran(410, "incomplete", message, RanState::Yes)
+        })?;
+    let (sender, events) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let forwarder = RunForwarder::resumed(shared, location, reader, offset + 1);
+    tokio::spawn(forwarder.run(sender));
     Ok(stream_response(events, token, Usage::default()))
 }
 
@@ -286,7 +293,7 @@
     format!("cached={},imported={},computed={}", usage.cached, usage.imported, usage.computed)
 }
 
-/// Server-sent events, each with an id from which any VM can resume.
+/// Returns an answer of server-sent events, each with an id from which any VM can resume.
 fn stream_response(events: mpsc::Receiver<RunEvent>, token: String, usage: Usage) -> Response<CallerBody> {
     let stream = EventStream { events, token: Arc::from(token) };
     Response::builder()
@@ -297,7 +304,7 @@
         .unwrap_or_else(|_| Response::new(full_body("")))
 }
 
-/// Turns run events into the bytes that a caller gets.
+/// Encodes run events as the bytes that a caller receives.
 struct EventStream {
     events: mpsc::Receiver<RunEvent>,
     token: Arc<str>,
@@ -315,7 +322,7 @@
         };
         let bytes = match event {
             RunEvent::Data { offset, data } => event_bytes(&self.token, offset, &data),
-            RunEvent::Moved { token } => {
+            RunEvent::TokenChanged { token } => {
                 self.token = Arc::from(token);
                 Bytes::new()
             }
@@ -338,14 +345,14 @@
     bytes.freeze()
 }
 
-/// The text that one event adds to the answer.
+/// Returns the text that one event adds to the answer.
 pub(crate) fn event_text(data: &[u8]) -> String {
     let value: Value = serde_json::from_slice(data).unwrap_or_default();
     let choice = &value["choices"][0];
     choice["text"].as_str().or_else(|| choice["delta"]["content"].as_str()).unwrap_or_default().to_owned()
 }
 
-/// The whole answer as one JSON object.
+/// Collects the whole answer into one JSON object.
 async fn collect_answer(
     call: &CompletionCall,
     mut events: mpsc::Receiver<RunEvent>,
@@ -359,7 +366,7 @@
                 tokens += 1;
             }
             RunEvent::Done { .. } => done = true,
-            RunEvent::Moved { .. } => {}
+            RunEvent::TokenChanged { .. } => {}
             RunEvent::Incomplete(error) => return Err(error),
         }
     }
@@ -389,7 +396,7 @@
     Ok(response.unwrap_or_else(|_| Response::new(full_body(""))))
 }
 
-/// Milliseconds since `arrived`.
+/// Returns the milliseconds since `arrived`.
 pub(crate) fn millis_since(shared: &SharedState, arrived: Moment) -> u64 {
     shared.now().micros_since(arrived) / MICROS_PER_MILLI
 }
--- a/crates/spanfoldd/src/caller/final_error.rs
+++ b/crates/spanfoldd/src/caller/final_error.rs
@@ -1,7 +1,7 @@
-//! The errors that callers see.
+//! The errors returned to callers.
 //!
-//! Invariant: each says whether the request ran; where it did not, it says when to come back. No
-//! message repeats a key, a prompt, or anything of another account.
+//! Invariant: each states whether the request ran; if a request that did not run may succeed later,
+//! it states when to retry. No message contains a key, a prompt, or data of another account.
 
 use crate::caller::{CallerBody, text_response};
 use crate::shared::SharedState;
@@ -11,7 +11,7 @@
 use spanfold_gateway::KindLabel;
 use spanfold_kernel::{RanState, RefusalKind};
 
-/// A wait for errors that name none, in milliseconds.
+/// Retry delay of errors that state none.
 const DEFAULT_RETRY_MILLIS: u64 = 1_000;
 
 /// A final answer that is an error.
@@ -25,23 +25,23 @@
 }
 
 impl FinalError {
-    /// The caller's own fault; coming back unchanged would not help.
+    /// Returns an error of the caller's own; a retry of the same request would fail too.
     pub(crate) fn bad_request(status: u16, code: &'static str, message: impl Into<String>) -> Self {
         Self { status, code, message: message.into(), ran: RanState::No, retry_after_millis: None }
     }
 
-    /// Not run, for a reason that may pass.
+    /// Returns an error of a request that did not run, for a temporary reason.
     pub(crate) fn not_run(code: &'static str, message: impl Into<String>, retry_after_millis: u64) -> Self {
         let message = message.into();
         Self { status: 503, code, message, ran: RanState::No, retry_after_millis: Some(retry_after_millis) }
     }
 
-    /// It may have run, or ran in part.
+    /// Returns an error of a request that ran in part, or may have run.
     pub(crate) fn ran(status: u16, code: &'static str, message: impl Into<String>, ran: RanState) -> Self {
         Self { status, code, message: message.into(), ran, retry_after_millis: Some(DEFAULT_RETRY_MILLIS) }
     }
 
-    /// A refusal by the kernel.
+    /// Returns the error of a refusal by the kernel.
     pub(crate) fn refused(reason: RefusalKind, retry_after_millis: u64) -> Self {
         let (status, code, message) = match reason {
             RefusalKind::Deadline => (503, "deadline", "the deadline cannot be met now"),
@@ -56,7 +56,7 @@
         Self { status, code, message, ran: RanState::No, retry_after_millis: Some(retry_after_millis) }
     }
 
-    /// The error's body.
+    /// Returns the body of the answer.
     pub(crate) fn body(&self) -> String {
         json!({ "error": {
             "message": self.message,
@@ -77,7 +77,7 @@
         headers.insert("content-type", HeaderValue::from_static("application/json"));
         headers.insert("spanfold-ran", HeaderValue::from_static(self.ran.word()));
         if let Some(millis) = self.retry_after_millis {
-            // The header counts whole seconds; the body has the finer figure.
+            // The header has whole seconds; the body states milliseconds.
             headers.insert("retry-after", HeaderValue::from(millis.div_ceil(1_000)));
         }
         response
--- a/crates/spanfoldd/src/caller/frame_reader.rs
+++ b/crates/spanfoldd/src/caller/frame_reader.rs
@@ -1,36 +1,37 @@
-//! Reads server-sent events off an engine's answer with the least parsing that promises allow.
+//! Reads server-sent events from an engine's answer, with the least parsing that the
+//! guarantees to callers allow.
 //!
-//! Invariant: a frame is passed on as it came; only its id is read. Decoding and encoding each
-//! event again would cost more than the rest of the path together.
+//! Invariant: an event's data is forwarded unchanged; only its id is parsed. Decoding and encoding
+//! each event again would cost more than all other steps of the path together.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use std::time::Duration;
 
-/// A longer frame is taken as a broken stream.
+/// Bound on a frame; a longer one counts as a broken stream.
 const MAX_FRAME_BYTES: usize = 1024 * 1024;
-/// The data of the last frame.
+/// Data of the last frame.
 pub(crate) const DONE: &[u8] = b"[DONE]";
 
 /// One event of an engine's stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EngineFrame {
-    /// Its number in the stream, from zero.
+    /// The number of the event in the stream, from zero.
     pub id: u64,
-    /// Its data.
+    /// The data of the event.
     pub data: Bytes,
 }
 
-/// What came next.
+/// The result of a read.
 #[derive(Debug)]
 pub(crate) enum NextFrame {
     Frame(EngineFrame),
-    /// The stream ended, broke, stalled or is malformed.
+    /// The stream ended, failed, stalled, has a frame that is too long, or is malformed.
     Broken(&'static str),
 }
 
-/// Cuts a body into frames.
+/// Splits a body into frames.
 #[derive(Debug)]
 pub(crate) struct FrameReader {
     body: Incoming,
@@ -42,11 +43,11 @@
         Self { body, buffer: BytesMut::new() }
     }
 
-    /// The next frame, if it comes within `stall`.
-    pub(crate) async fn next(&mut self, stall: Duration) -> NextFrame {
+    /// Returns the next frame, or `Broken` if no data is received within `stall_timeout`.
+    pub(crate) async fn next(&mut self, stall_timeout: Duration) -> NextFrame {
         let mut searched = 0;
         loop {
-            if let Some(end) = find_end(&self.buffer, searched) {
+            if let Some(end) = find_frame_end(&self.buffer, searched) {
                 let frame = self.buffer.split_to(end + 2).freeze();
                 return parse(&frame).map_or(NextFrame::Broken("malformed"), NextFrame::Frame);
             }
@@ -54,7 +55,7 @@
             if self.buffer.len() > MAX_FRAME_BYTES {
                 return NextFrame::Broken("too long");
             }
-            match tokio::time::timeout(stall, self.body.frame()).await {
+            match tokio::time::timeout(stall_timeout, self.body.frame()).await {
                 Err(_) => return NextFrame::Broken("stalled"),
                 Ok(None) => return NextFrame::Broken("ended"),
                 Ok(Some(Err(_))) => return NextFrame::Broken("broke"),
@@ -68,11 +69,11 @@
     }
 }
 
-fn find_end(buffer: &[u8], from: usize) -> Option<usize> {
-    buffer.get(from..)?.windows(2).position(|pair| pair == b"\n\n").map(|place| place + from)
+fn find_frame_end(buffer: &[u8], from: usize) -> Option<usize> {
+    buffer.get(from..)?.windows(2).position(|pair| pair == b"\n\n").map(|index| index + from)
 }
 
-/// Reads `id: N` and `data: TEXT` lines; others are passed over.
+/// Parses `id: N` and `data: TEXT` lines; other lines are skipped.
 fn parse(frame: &Bytes) -> Option<EngineFrame> {
     let (mut id, mut data, mut start) = (None, None, 0);
     for line in frame.split(|byte| *byte == b'\n') {
--- a/crates/spanfoldd/src/caller/mod.rs
+++ b/crates/spanfoldd/src/caller/mod.rs
@@ -1,14 +1,14 @@
 //! The callers' listener.
 //!
-//! Invariant: a caller gets exactly one final answer, and every error in it carries whether the
+//! Invariant: a caller receives exactly one final answer, and every error in it states whether the
 //! request ran.
 
+mod admission_gate;
 mod completion;
 mod final_error;
 mod frame_reader;
-mod gate;
-mod recovery;
 mod request;
+mod run_forwarder;
 mod service;
 
 pub(crate) use final_error::FinalError;
@@ -28,10 +28,10 @@
 use tokio::net::{TcpListener, TcpStream};
 
 pub(crate) type BoxError = Box<dyn std::error::Error + Send + Sync>;
-/// A body towards a caller.
+/// The body of an answer to a caller.
 pub(crate) type CallerBody = BoxBody<Bytes, BoxError>;
 
-/// Pause after a failed accept, such as for want of file descriptors.
+/// Delay after a failed accept, for example for lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 pub(crate) fn full_body(bytes: impl Into<Bytes>) -> CallerBody {
@@ -66,13 +66,13 @@
     }
 }
 
-async fn serve_connection(shared: Arc<SharedState>, socket: TcpStream, callers: bool) {
+async fn serve_connection(shared: Arc<SharedState>, socket: TcpStream, for_callers: bool) {
     let _ = socket.set_nodelay(true);
     let header_timeout = Duration::from_millis(shared.settings.header_millis);
     let service = service_fn(move |request| {
         let shared = Arc::clone(&shared);
         async move {
-            let response = if callers {
+            let response = if for_callers {
                 answer_caller(&shared, request).await
             } else {
                 crate::operators::answer(&shared, &request)
@@ -95,7 +95,7 @@
     let response = result.unwrap_or_else(|error| error.into_response(shared));
     let status = response.status().as_str().to_owned();
     shared.metrics.answers.get_or_create(&KindLabel { kind: status }).inc();
-    // A request is in flight until its body is out, not until its head is.
+    // The request counts as in flight until the body of its answer is sent, not only the head.
     response.map(|body| {
         body.map_frame(move |frame| {
             let _flight = &flight;
--- a/crates/spanfoldd/src/caller/request.rs
+++ b/crates/spanfoldd/src/caller/request.rs
@@ -1,9 +1,9 @@
-//! Reading and checking what callers send.
+//! Reads and validates the requests of callers.
 //!
-//! Invariant: a malformed request is refused before the kernel hears of it, so nothing is lost.
+//! Invariant: a malformed request is refused before it reaches the kernel, so nothing is lost.
 
+use crate::block_key::{BlockKeys, estimate_tokens};
 use crate::caller::FinalError;
-use crate::piece_key::{PieceKeys, estimate_tokens};
 use crate::shared::SharedState;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -14,14 +14,14 @@
 use spanfold_entity::Moment;
 use std::time::Duration;
 
-/// Tokens generated if the caller names no number.
+/// Tokens generated at most if the caller sets no bound.
 const DEFAULT_TOKENS: u32 = 256;
-/// Tokens that may be asked for at most.
-const MOST_TOKENS: u64 = 131_072;
-/// Longest deadline that a caller may name, in milliseconds.
-const MOST_DEADLINE_MILLIS: u64 = 600_000;
+/// Largest number of tokens that a caller may request.
+const MAX_TOKENS: u64 = 131_072;
+/// Longest deadline that a caller may set.
+const MAX_DEADLINE_MILLIS: u64 = 600_000;
 
-/// A checked completion.
+/// A validated completion request.
 #[derive(Clone, Debug)]
 pub(crate) struct CompletionCall {
     pub account: String,
@@ -32,49 +32,49 @@
     pub chat: bool,
     pub stream: bool,
     pub body: Map<String, Value>,
-    pub keys: PieceKeys,
+    pub keys: BlockKeys,
     pub prompt_tokens: u32,
     pub max_tokens: u32,
     pub deadline: Moment,
     pub priority: i8,
 }
 
-/// The client account of a request's bearer key.
+/// Returns the client account of a request's bearer key.
 pub(crate) fn authenticate(shared: &SharedState, headers: &HeaderMap) -> Result<String, FinalError> {
     let (generation, catalogue) = shared.catalogue();
     if generation == 0 {
         return Err(FinalError::not_run("no_configuration", "this VM has no configuration yet", 1_000));
     }
-    let refused = |message| FinalError::bad_request(401, "unauthorized", message);
-    let header = headers.get("authorization").ok_or_else(|| refused("a bearer key is required"))?;
+    let unauthorized = |message| FinalError::bad_request(401, "unauthorized", message);
+    let header = headers.get("authorization").ok_or_else(|| unauthorized("a bearer key is required"))?;
     let key = header
         .to_str()
         .ok()
         .and_then(|text| text.strip_prefix("Bearer "))
-        .ok_or_else(|| refused("expected `Authorization: Bearer KEY`"))?;
+        .ok_or_else(|| unauthorized("expected `Authorization: Bearer KEY`"))?;
     let account = catalogue.account_by_digest.get(&key_digest(key.trim()));
-    account.cloned().ok_or_else(|| refused("the bearer key is not known"))
+    account.cloned().ok_or_else(|| unauthorized("the bearer key is not known"))
 }
 
-/// Reads a body of at most `most` bytes within the settings' time.
+/// Reads a body of at most `limit` bytes within the time of the settings.
 pub(crate) async fn read_limited(
     shared: &SharedState,
     body: Incoming,
-    most: usize,
+    limit: usize,
 ) -> Result<Bytes, FinalError> {
     let timeout = Duration::from_millis(shared.settings.body_millis);
-    let read = tokio::time::timeout(timeout, Limited::new(body, most).collect()).await;
+    let read = tokio::time::timeout(timeout, Limited::new(body, limit).collect()).await;
     match read {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            Err(FinalError::bad_request(413, "too_large", format!("the body is longer than {most} bytes")))
+            Err(FinalError::bad_request(413, "too_large", format!("the body is longer than {limit} bytes")))
         }
         Ok(Err(_)) => Err(FinalError::bad_request(400, "broken_body", "the body broke off")),
         Err(_) => Err(FinalError::bad_request(408, "slow_body", "the body took too long")),
     }
 }
 
-/// Checks a completion.
+/// Validates a completion request.
 pub(crate) fn check_completion(
     shared: &SharedState,
     account: String,
@@ -82,19 +82,22 @@
     bytes: &[u8],
     chat: bool,
 ) -> Result<CompletionCall, FinalError> {
-    let bad = |message: &str| FinalError::bad_request(400, "invalid_request", message);
+    let invalid_request = |message: &str| FinalError::bad_request(400, "invalid_request", message);
     let value: Value = serde_json::from_slice(bytes).map_err(|error| {
-        // The parser's own text may quote the body.
-        bad(&format!("the body is not JSON: line {} column {}", error.line(), error.column()))
+        // The parser's own message may quote the body.
+        invalid_request(&format!("the body is not JSON: line {} column {}", error.line(), error.column()))
     })?;
-    let Value::Object(body) = value else { return Err(bad("the body is not a JSON object")) };
-    let model = body.get("model").and_then(Value::as_str).ok_or_else(|| bad("`model` must be a string"))?;
+    let Value::Object(body) = value else { return Err(invalid_request("the body is not a JSON object")) };
+    let model = body
+        .get("model")
+        .and_then(Value::as_str)
+        .ok_or_else(|| invalid_request("`model` must be a string"))?;
     let prompt = if chat { render_chat(&body)? } else { read_prompt(&body)? };
     let max_tokens = read_tokens(&body)?;
     let stream = match body.get("stream") {
         None | Some(Value::Null) => false,
         Some(Value::Bool(stream)) => *stream,
-        Some(_) => return Err(bad("`stream` must be true or false")),
+        Some(_) => return Err(invalid_request("`stream` must be true or false")),
     };
     let (_, catalogue) = shared.catalogue();
     let pool: &Pool = catalogue
@@ -102,7 +105,7 @@
         .get(model)
         .and_then(|pool| catalogue.declarations.pools.get(pool))
         .ok_or_else(|| FinalError::bad_request(404, "model_not_found", "no such model"))?;
-    let keys = PieceKeys::new(&shared.keys, &account, model, &pool.version, prompt.as_bytes());
+    let keys = BlockKeys::new(&shared.keys, &account, model, &pool.version, prompt.as_bytes());
     Ok(CompletionCall {
         account,
         pool: pool.name.clone(),
@@ -123,9 +126,9 @@
     let Some(value) = body.get("max_tokens").or_else(|| body.get("max_completion_tokens")) else {
         return Ok(DEFAULT_TOKENS);
     };
-    value.as_u64().filter(|tokens| (1..=MOST_TOKENS).contains(tokens)).map(|tokens| tokens as u32).ok_or_else(
+    value.as_u64().filter(|tokens| (1..=MAX_TOKENS).contains(tokens)).map(|tokens| tokens as u32).ok_or_else(
         || {
-            let message = format!("`max_tokens` must be from 1 to {MOST_TOKENS}");
+            let message = format!("`max_tokens` must be from 1 to {MAX_TOKENS}");
             FinalError::bad_request(400, "invalid_request", message)
         },
     )
@@ -138,25 +141,25 @@
     }
 }
 
-/// The text that chat messages stand for, as `docs/INTERFACES.md` gives it.
+/// Renders chat messages as a prompt, as `docs/INTERFACES.md` specifies.
 fn render_chat(body: &Map<String, Value>) -> Result<String, FinalError> {
-    let bad = |message| FinalError::bad_request(400, "invalid_request", message);
-    let rows = body.get("messages").and_then(Value::as_array).filter(|rows| !rows.is_empty());
-    let rows = rows.ok_or_else(|| bad("`messages` must be a non-empty list"))?;
+    let invalid_request = |message| FinalError::bad_request(400, "invalid_request", message);
+    let messages = body.get("messages").and_then(Value::as_array).filter(|messages| !messages.is_empty());
+    let messages = messages.ok_or_else(|| invalid_request("`messages` must be a non-empty list"))?;
     let mut text = String::new();
-    for row in rows {
-        let part = |key: &str| row.get(key).and_then(Value::as_str);
-        let (Some(role), Some(content)) = (part("role"), part("content")) else {
-            return Err(bad("each message needs `role` and `content` as strings"));
+    for message in messages {
+        let field = |key: &str| message.get(key).and_then(Value::as_str);
+        let (Some(role), Some(content)) = (field("role"), field("content")) else {
+            return Err(invalid_request("each message needs `role` and `content` as strings"));
         };
-        for part in ["<|", role, "|>", content, "\n"] {
-            text.push_str(part);
+        for token in ["<|", role, "|>", content, "\n"] {
+            text.push_str(token);
         }
     }
     Ok(text)
 }
 
-/// The moment by which the first token, or a service's answer, is due.
+/// Returns the deadline of the first token, or of a service's answer.
 pub(crate) fn read_deadline(shared: &SharedState, headers: &HeaderMap) -> Result<Moment, FinalError> {
     let millis = match headers.get("spanfold-deadline-ms") {
         None => shared.settings.deadline_millis,
@@ -164,9 +167,9 @@
             .to_str()
             .ok()
             .and_then(|text| text.parse().ok())
-            .filter(|millis| (1..=MOST_DEADLINE_MILLIS).contains(millis))
+            .filter(|millis| (1..=MAX_DEADLINE_MILLIS).contains(millis))
             .ok_or_else(|| {
-                let message = format!("`Spanfold-Deadline-Ms` must be from 1 to {MOST_DEADLINE_MILLIS}");
+                let message = format!("`Spanfold-Deadline-Ms` must be from 1 to {MAX_DEADLINE_MILLIS}");
                 FinalError::bad_request(400, "invalid_header", message)
             })?,
     };
--- a/crates/spanfoldd/src/caller/recovery.rs
+++ b/crates/spanfoldd/src/caller/run_forwarder.rs
@@ -1,16 +1,16 @@
-//! Keeps a run going: resumes a broken stream, replays it elsewhere, or says it is incomplete.
+//! Forwards a run's events: resumes a broken stream, replays it elsewhere, or ends it as incomplete.
 //!
-//! Invariant: the caller sees each event of the answer once and in order. An event's number shows
-//! gaps, repeats and reordering; only the number that is due is passed on.
+//! Invariant: the caller receives each event of the answer once and in order. An event's number
+//! reveals gaps, repeats and reordering; only the event with the next number is forwarded.
 
 use crate::burn::ServedSample;
 use crate::caller::FinalError;
-use crate::caller::completion::{StartedRun, cancel, count_burn, event_text, millis_since, start_run};
+use crate::caller::admission_gate::{AdmissionGate, spend_retry};
+use crate::caller::completion::{StartedRun, cancel, event_text, millis_since, record_sample, start_run};
 use crate::caller::frame_reader::{DONE, FrameReader, NextFrame};
-use crate::caller::gate::{OpenGate, take_retry};
 use crate::caller::request::CompletionCall;
 use crate::probe::address_of;
-use crate::secret::StreamPlace;
+use crate::secret::StreamLocation;
 use crate::shared::SharedState;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -22,24 +22,24 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Resumptions of one run at the same endpoint, and replays at others.
-const RECOVERIES: u32 = 4;
-/// How long a reopened stream may take to answer.
+/// Recoveries of one run, by resuming at the same endpoint or replaying at others.
+const MAX_RECOVERIES: u32 = 4;
+/// Time after which an attempt to reopen a stream fails.
 const REOPEN_TIMEOUT: Duration = Duration::from_secs(1);
-/// A caller that reads nothing for this long is taken as gone.
-const CALLER_PATIENCE: Duration = Duration::from_secs(30);
-/// A run goes on this long after its caller has gone, for the caller to come back to.
-const ABSENCE: Duration = Duration::from_secs(5);
+/// Time after which a caller that reads nothing counts as disconnected.
+const CALLER_STALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time for which a run goes on without its caller, so that the caller can resume it.
+const DETACHED_RUN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a run gives to its caller.
+/// An event of a run for its caller.
 #[derive(Debug)]
 pub(crate) enum RunEvent {
     Data {
         offset: u64,
         data: Bytes,
     },
-    /// The run goes on under another resume token.
-    Moved {
+    /// The run continues under another resume token.
+    TokenChanged {
         token: String,
     },
     Done {
@@ -48,51 +48,51 @@
     Incomplete(FinalError),
 }
 
-/// The request behind a run; a resumed run has none, because its body is not known here.
+/// The request of a run; a resumed run has none, because this VM does not have its body.
 #[derive(Debug)]
-struct PumpOrigin {
+struct RunOrigin {
     call: Arc<CompletionCall>,
-    gate: OpenGate,
+    gate: AdmissionGate,
     arrived: Moment,
     first_token_millis: u64,
-    said: Vec<Bytes>,
+    sent_events: Vec<Bytes>,
 }
 
-/// Passes one run's events on and recovers it when its stream breaks.
+/// Forwards the events of one run and recovers it when its stream breaks.
 #[derive(Debug)]
-pub(crate) struct RunPump {
+pub(crate) struct RunForwarder {
     shared: Arc<SharedState>,
-    place: StreamPlace,
+    location: StreamLocation,
     reader: FrameReader,
-    due: u64,
+    next_offset: u64,
     recoveries: u32,
     exclude: Vec<String>,
-    origin: Option<PumpOrigin>,
+    origin: Option<RunOrigin>,
 }
 
-/// How a stretch of reading ended.
-enum Stretch {
+/// The reason why forwarding from one stream ended.
+enum ForwardOutcome {
     Complete,
     CallerGone,
     Broken(&'static str),
 }
 
-impl RunPump {
+impl RunForwarder {
     pub(crate) fn new(
         shared: &Arc<SharedState>,
         call: &Arc<CompletionCall>,
-        gate: OpenGate,
+        gate: AdmissionGate,
         run: StartedRun,
         arrived: Moment,
         first_token_millis: u64,
     ) -> Self {
         let call = Arc::clone(call);
-        let origin = PumpOrigin { call, gate, arrived, first_token_millis, said: Vec::new() };
+        let origin = RunOrigin { call, gate, arrived, first_token_millis, sent_events: Vec::new() };
         Self {
             shared: Arc::clone(shared),
-            place: run.place,
+            location: run.location,
             reader: run.reader,
-            due: 0,
+            next_offset: 0,
             recoveries: 0,
             exclude: Vec::new(),
             origin: Some(origin),
@@ -101,28 +101,28 @@
 
     pub(crate) fn resumed(
         shared: &Arc<SharedState>,
-        place: StreamPlace,
+        location: StreamLocation,
         reader: FrameReader,
-        due: u64,
+        next_offset: u64,
     ) -> Self {
         let shared = Arc::clone(shared);
-        Self { shared, place, reader, due, recoveries: 0, exclude: Vec::new(), origin: None }
+        Self { shared, location, reader, next_offset, recoveries: 0, exclude: Vec::new(), origin: None }
     }
 
-    /// Passes events on until the answer is whole, the caller is gone, or recovery fails.
-    pub(crate) async fn drive(mut self, sender: mpsc::Sender<RunEvent>) {
+    /// Forwards events until the answer is complete, the caller disconnects, or recovery fails.
+    pub(crate) async fn run(mut self, sender: mpsc::Sender<RunEvent>) {
         loop {
-            match self.read_on(&sender).await {
-                Stretch::Complete => {
+            match self.forward_events(&sender).await {
+                ForwardOutcome::Complete => {
                     self.finish(true);
                     return;
                 }
-                Stretch::CallerGone => {
-                    self.linger().await;
+                ForwardOutcome::CallerGone => {
+                    self.drain_detached_run().await;
                     self.finish(false);
                     return;
                 }
-                Stretch::Broken(cause) => {
+                ForwardOutcome::Broken(cause) => {
                     if let Err(error) = self.recover(cause, &sender).await {
                         let _ = sender.send(RunEvent::Incomplete(error)).await;
                         self.finish(false);
@@ -133,53 +133,53 @@
         }
     }
 
-    async fn read_on(&mut self, sender: &mpsc::Sender<RunEvent>) -> Stretch {
-        let stall = Duration::from_millis(self.shared.settings.stall_millis);
+    async fn forward_events(&mut self, sender: &mpsc::Sender<RunEvent>) -> ForwardOutcome {
+        let stall_timeout = Duration::from_millis(self.shared.settings.stall_millis);
         loop {
             let frame = tokio::select! {
-                frame = self.reader.next(stall) => frame,
-                () = sender.closed() => return Stretch::CallerGone,
+                frame = self.reader.next(stall_timeout) => frame,
+                () = sender.closed() => return ForwardOutcome::CallerGone,
             };
             let frame = match frame {
                 NextFrame::Frame(frame) => frame,
-                NextFrame::Broken(cause) => return Stretch::Broken(cause),
+                NextFrame::Broken(cause) => return ForwardOutcome::Broken(cause),
             };
-            if frame.id < self.due {
+            if frame.id < self.next_offset {
                 continue;
             }
-            if frame.id > self.due {
-                return Stretch::Broken("skipped");
+            if frame.id > self.next_offset {
+                return ForwardOutcome::Broken("skipped");
             }
             let done = frame.data.as_ref() == DONE;
             let event = if done {
                 RunEvent::Done { offset: frame.id }
             } else {
                 if let Some(origin) = &mut self.origin {
-                    origin.said.push(frame.data.clone());
+                    origin.sent_events.push(frame.data.clone());
                 }
                 RunEvent::Data { offset: frame.id, data: frame.data }
             };
-            if !matches!(tokio::time::timeout(CALLER_PATIENCE, sender.send(event)).await, Ok(Ok(()))) {
-                return Stretch::CallerGone;
+            if !matches!(tokio::time::timeout(CALLER_STALL_TIMEOUT, sender.send(event)).await, Ok(Ok(()))) {
+                return ForwardOutcome::CallerGone;
             }
-            self.due += 1;
+            self.next_offset += 1;
             self.shared.metrics.events_out.inc();
             if done {
-                return Stretch::Complete;
+                return ForwardOutcome::Complete;
             }
         }
     }
 
-    /// Resumes at the same endpoint, or replays at another.
+    /// Resumes the run at the same endpoint, or replays it at another.
     async fn recover(
         &mut self,
         cause: &'static str,
         sender: &mpsc::Sender<RunEvent>,
     ) -> Result<(), FinalError> {
-        log::info!(endpoint = self.place.endpoint.as_str(), cause; "stream.broken");
-        while self.recoveries < RECOVERIES {
+        log::info!(endpoint = self.location.endpoint.as_str(), cause; "stream.broken");
+        while self.recoveries < MAX_RECOVERIES {
             self.recoveries += 1;
-            if let Some(reader) = reopen(&self.shared, &self.place, self.due).await {
+            if let Some(reader) = reopen(&self.shared, &self.location, self.next_offset).await {
                 self.shared.metrics.recoveries.get_or_create(&KindLabel::new("resumed")).inc();
                 self.reader = reader;
                 return Ok(());
@@ -197,26 +197,27 @@
         ))
     }
 
-    /// Runs the prompt plus what was sent on another endpoint of the same weight version.
+    /// Runs the prompt plus the text already sent at another endpoint of the same weight version.
     async fn replay(&mut self, sender: &mpsc::Sender<RunEvent>) -> bool {
         let Some(origin) = &self.origin else { return false };
-        if !take_retry() {
+        if !spend_retry() {
             return false;
         }
-        origin.gate.failed(FailureKind::Broken);
-        self.exclude.push(self.place.endpoint.clone());
-        let said: String = origin.said.iter().map(|data| event_text(data)).collect();
+        origin.gate.report_failure(FailureKind::Broken);
+        self.exclude.push(self.location.endpoint.clone());
+        let sent_text: String = origin.sent_events.iter().map(|data| event_text(data)).collect();
         let mut call = CompletionCall::clone(&origin.call);
-        // The first token is out already: what counts now is that the rest comes at all.
+        // The first token was sent, so the original deadline no longer applies; what matters is that
+        // the remaining answer is generated at all.
         call.deadline = self.shared.now().after_millis(self.shared.settings.deadline_millis);
-        match start_run(&self.shared, &call, &origin.gate, &mut self.exclude, &said).await {
+        match start_run(&self.shared, &call, &origin.gate, &mut self.exclude, &sent_text).await {
             Ok(run) => {
                 self.shared.metrics.recoveries.get_or_create(&KindLabel::new("replayed")).inc();
-                let token = self.shared.keys.stream_token(&call.account, &run.place);
-                self.place = run.place;
+                let token = self.shared.keys.stream_token(&call.account, &run.location);
+                self.location = run.location;
                 self.reader = run.reader;
-                self.due = 0;
-                let _ = sender.send(RunEvent::Moved { token }).await;
+                self.next_offset = 0;
+                let _ = sender.send(RunEvent::TokenChanged { token }).await;
                 true
             }
             Err(error) => {
@@ -226,20 +227,20 @@
         }
     }
 
-    /// Lets a run go on for a while without its caller, who may come back to another VM.
-    async fn linger(&mut self) {
-        let stall = Duration::from_millis(self.shared.settings.stall_millis);
+    /// Reads the stream on for a limited time without the caller, who may resume the run at another VM.
+    async fn drain_detached_run(&mut self) {
+        let stall_timeout = Duration::from_millis(self.shared.settings.stall_millis);
         let drain = async {
             loop {
-                match self.reader.next(stall).await {
+                match self.reader.next(stall_timeout).await {
                     NextFrame::Frame(frame) if frame.data.as_ref() == DONE => return,
                     NextFrame::Frame(_) => {}
                     NextFrame::Broken(_) => return,
                 }
             }
         };
-        if tokio::time::timeout(ABSENCE, drain).await.is_err() && self.origin.is_some() {
-            cancel(&self.shared, &self.place).await;
+        if tokio::time::timeout(DETACHED_RUN_TIMEOUT, drain).await.is_err() && self.origin.is_some() {
+            cancel(&self.shared, &self.location).await;
         }
     }
 
@@ -250,15 +251,19 @@
             answer_millis: complete.then(|| millis_since(&self.shared, origin.arrived)),
             answered: complete,
         };
-        count_burn(&self.shared, &origin.call.account, sample);
-        origin.gate.complete(origin.said.len() as u32);
+        record_sample(&self.shared, &origin.call.account, sample);
+        origin.gate.complete(origin.sent_events.len() as u32);
     }
 }
 
-/// Opens a run's stream again from event `from` on.
-pub(crate) async fn reopen(shared: &SharedState, place: &StreamPlace, from: u64) -> Option<FrameReader> {
-    let address = address_of(shared, &place.endpoint)?;
-    let url = format!("http://{address}/v1/streams/{}?from={from}", place.stream);
+/// Reopens a run's stream from event `from` on.
+pub(crate) async fn reopen(
+    shared: &SharedState,
+    location: &StreamLocation,
+    from: u64,
+) -> Option<FrameReader> {
+    let address = address_of(shared, &location.endpoint)?;
+    let url = format!("http://{address}/v1/streams/{}?from={from}", location.stream);
     let request = Request::get(url).body(Full::default()).ok()?;
     let response = tokio::time::timeout(REOPEN_TIMEOUT, shared.endpoints.send(request)).await.ok()?.ok()?;
     (response.status() == 200).then(|| FrameReader::new(response.into_body()))
--- a/crates/spanfoldd/src/caller/service.rs
+++ b/crates/spanfoldd/src/caller/service.rs
@@ -1,12 +1,12 @@
-//! Plain services: any method, bodies streamed, and calls that may run at most once.
+//! Plain services: any method, streamed bodies, and calls that may run at most once.
 //!
-//! Invariant: a call that may not be repeated is sent to one endpoint at most, and only after its
-//! claim is written if it has an idempotency key. "Not run" is said only if the connection did
-//! not come about, or the endpoint itself said that it refused before running.
+//! Invariant: a call that may not be repeated is sent to one endpoint at most and, if it has an
+//! idempotency key, only after its claim is written. A call is reported as not run only if the
+//! connection was not established, or the endpoint reported that it refused before running.
 
 use crate::burn::ServedSample;
-use crate::caller::completion::{count_burn, millis_since};
-use crate::caller::gate::{OpenGate, take_retry};
+use crate::caller::admission_gate::{AdmissionGate, spend_retry};
+use crate::caller::completion::{millis_since, record_sample};
 use crate::caller::request::{authenticate, read_deadline, read_limited, read_priority};
 use crate::caller::{CallerBody, FinalError, full_body};
 use crate::endpoint_client::{CallError, EndpointClient, OutgoingBody};
@@ -25,16 +25,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Endpoints that a call is tried at while it has certainly not run.
-const ATTEMPTS: usize = 3;
-/// A claim that is not written by then is given up, in milliseconds.
-const CLAIM_MILLIS: u64 = 3_000;
-/// How long the answer waits for the record of its end.
-const SETTLE_WAIT: Duration = Duration::from_millis(1_500);
-/// Longest idempotency key.
-const KEY_BYTES: usize = 256;
-/// Headers that belong to one connection, or to this system, and are not passed on.
-const OWN_HEADERS: [&str; 9] = [
+/// Endpoints at which a call is attempted, while it has certainly not run or may be repeated.
+const MAX_ATTEMPTS: usize = 3;
+/// Time after which a claim that is not yet written is abandoned.
+const CLAIM_TIMEOUT_MILLIS: u64 = 3_000;
+/// Time for which an answer is delayed until its claim is recorded as settled.
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Bound on the length of an idempotency key.
+const MAX_KEY_BYTES: usize = 256;
+/// Headers of one connection or of this system, which are not forwarded.
+const UNFORWARDED_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "transfer-encoding",
@@ -46,7 +46,7 @@
     "content-length",
 ];
 
-/// A recorded answer.
+/// The recorded answer of a claimed call.
 #[derive(Debug, Serialize, Deserialize)]
 struct RecordedAnswer {
     status: u16,
@@ -54,7 +54,7 @@
     body: Option<String>,
 }
 
-/// A checked call.
+/// A validated call.
 struct ServiceCall {
     account: String,
     pool: String,
@@ -66,14 +66,14 @@
     priority: i8,
 }
 
-/// A body that is at hand, or one that is streamed through once.
+/// The body of a call: in memory, or streamed once.
 enum CallBody {
-    Whole(Bytes),
+    Buffered(Bytes),
     Streamed(Box<OutgoingBody>),
-    Spent,
+    Consumed,
 }
 
-/// A claim that this call holds.
+/// The claim of the current call on its idempotency key.
 struct HeldClaim {
     key: u128,
     nonce: u128,
@@ -90,10 +90,10 @@
     let account = authenticate(shared, &head.headers)?;
     let call = check_call(shared, account, &head)?;
     let key = idempotency_key(&call)?;
-    let body = take_body(shared, &call, body, key.is_some()).await?;
+    let body = read_body(shared, &call, body, key.is_some()).await?;
     let account = call.account.clone();
     let result = match key {
-        Some(key) => run_once(shared, &call, &key, body).await,
+        Some(key) => run_claimed(shared, &call, &key, body).await,
         None => run(shared, &call, body, None)
             .await
             .map(|response| response.map(|body| body.map_err(Into::into).boxed())),
@@ -105,7 +105,7 @@
         answer_millis: answered.then_some(millis),
         answered,
     };
-    count_burn(shared, &account, sample);
+    record_sample(shared, &account, sample);
     result
 }
 
@@ -115,7 +115,7 @@
     head: &hyper::http::request::Parts,
 ) -> Result<ServiceCall, FinalError> {
     let path = head.uri.path().strip_prefix("/services/").unwrap_or_default();
-    let (pool, rest) = path.split_once('/').unwrap_or((path, ""));
+    let (pool, subpath) = path.split_once('/').unwrap_or((path, ""));
     let (_, catalogue) = shared.catalogue();
     let declared = catalogue
         .declarations
@@ -124,15 +124,15 @@
         .filter(|pool| pool.kind == EndpointKind::Service)
         .ok_or_else(|| FinalError::bad_request(404, "service_not_found", "no such service"))?;
     let query = head.uri.query().map(|query| format!("?{query}")).unwrap_or_default();
-    let once = declared.not_repeatable.iter().any(|method| method == head.method.as_str());
-    let marked = head.headers.get("spanfold-repeatable").is_some_and(|value| value == "no");
+    let never_repeatable = declared.not_repeatable.iter().any(|method| method == head.method.as_str());
+    let marked_unrepeatable = head.headers.get("spanfold-repeatable").is_some_and(|value| value == "no");
     Ok(ServiceCall {
         account,
         pool: pool.to_owned(),
         method: head.method.clone(),
-        path: format!("/{rest}{query}"),
+        path: format!("/{subpath}{query}"),
         headers: head.headers.clone(),
-        repeatable: !once && !marked,
+        repeatable: !never_repeatable && !marked_unrepeatable,
         deadline: read_deadline(shared, &head.headers)?,
         priority: read_priority(&head.headers)?,
     })
@@ -141,19 +141,19 @@
 fn idempotency_key(call: &ServiceCall) -> Result<Option<String>, FinalError> {
     let Some(value) = call.headers.get("idempotency-key") else { return Ok(None) };
     let key = value.to_str().unwrap_or_default();
-    if key.is_empty() || key.len() > KEY_BYTES {
-        let message = format!("`Idempotency-Key` must have from 1 to {KEY_BYTES} characters");
+    if key.is_empty() || key.len() > MAX_KEY_BYTES {
+        let message = format!("`Idempotency-Key` must have from 1 to {MAX_KEY_BYTES} characters");
         return Err(FinalError::bad_request(400, "invalid_header", message));
     }
     Ok(Some(key.to_owned()))
 }
 
-/// Small bodies are read whole, so that the call can be tried elsewhere; large ones are streamed.
-async fn take_body(
+/// Reads a small body whole, so that the call can be retried elsewhere; streams a large one.
+async fn read_body(
     shared: &SharedState,
     call: &ServiceCall,
     body: Incoming,
-    claimed: bool,
+    has_claim: bool,
 ) -> Result<CallBody, FinalError> {
     let length =
         call.headers.get("content-length").and_then(|v| v.to_str().ok()).and_then(|v| v.parse::<u64>().ok());
@@ -162,22 +162,22 @@
         let message = format!("the body is longer than {} bytes", shared.settings.upload_bytes);
         return Err(FinalError::bad_request(413, "too_large", message));
     }
-    let small = length.unwrap_or(0) <= shared.settings.body_bytes as u64 && !chunked;
-    if small || (claimed && !call.headers.contains_key("content-digest")) {
-        return read_limited(shared, body, shared.settings.body_bytes).await.map(CallBody::Whole);
+    let is_small = length.unwrap_or(0) <= shared.settings.body_bytes as u64 && !chunked;
+    if is_small || (has_claim && !call.headers.contains_key("content-digest")) {
+        return read_limited(shared, body, shared.settings.body_bytes).await.map(CallBody::Buffered);
     }
-    let most = usize::try_from(shared.settings.upload_bytes).unwrap_or(usize::MAX);
-    Ok(CallBody::Streamed(Box::new(Limited::new(body, most).boxed())))
+    let limit = usize::try_from(shared.settings.upload_bytes).unwrap_or(usize::MAX);
+    Ok(CallBody::Streamed(Box::new(Limited::new(body, limit).boxed())))
 }
 
-/// Runs a call under a claim: at most once, and with its recorded answer after that.
-async fn run_once(
+/// Runs a call under a claim: at most once; later attempts get the recorded answer.
+async fn run_claimed(
     shared: &Arc<SharedState>,
     call: &ServiceCall,
     key: &str,
     body: CallBody,
 ) -> Result<Response<CallerBody>, FinalError> {
-    let claim = match take_claim(shared, call, key, &body).await? {
+    let claim = match acquire_claim(shared, call, key, &body).await? {
         Ok(claim) => claim,
         Err(recorded) => return Ok(recorded),
     };
@@ -185,7 +185,7 @@
     let response = match result {
         Ok(response) => response,
         Err(error) => {
-            // Only a call that truly did not run gives its key back.
+            // Only a call that certainly did not run releases its key.
             if error.ran == RanState::No {
                 settle(shared, &claim, None).await;
             }
@@ -194,8 +194,9 @@
     };
     let status = response.status().as_u16();
     let headers = response.headers().clone();
-    let broken = |_| FinalError::ran(502, "answer_lost", "the call ran; its answer was lost", RanState::Yes);
-    let body = response.into_body().collect().await.map_err(broken)?.to_bytes();
+    let broken_body =
+        |_| FinalError::ran(502, "answer_lost", "the call ran; its answer was lost", RanState::Yes);
+    let body = response.into_body().collect().await.map_err(broken_body)?.to_bytes();
     let fits = body.len() <= shared.settings.answer_bytes;
     let recorded = RecordedAnswer {
         status,
@@ -210,40 +211,40 @@
     settle(shared, &claim, Some(text)).await;
     let mut response = Response::new(full_body(body));
     *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
-    *response.headers_mut() = passed_headers(&headers);
+    *response.headers_mut() = forwarded_headers(&headers);
     Ok(response)
 }
 
 /// Claims a call's key; the inner error is the recorded answer of an earlier attempt.
-async fn take_claim(
+async fn acquire_claim(
     shared: &Arc<SharedState>,
     call: &ServiceCall,
     key: &str,
     body: &CallBody,
 ) -> Result<Result<HeldClaim, Response<CallerBody>>, FinalError> {
     let digest = match body {
-        CallBody::Whole(bytes) => shared.keys.call_digest(call.method.as_str(), &call.path, bytes),
-        // The caller vouches for the digest of a body that is streamed.
-        CallBody::Streamed(_) | CallBody::Spent => {
-            let vouched = call.headers.get("content-digest").map_or(&[][..], HeaderValue::as_bytes);
-            shared.keys.call_digest(call.method.as_str(), &call.path, vouched)
+        CallBody::Buffered(bytes) => shared.keys.call_digest(call.method.as_str(), &call.path, bytes),
+        // The caller is responsible for the digest of a streamed body.
+        CallBody::Streamed(_) | CallBody::Consumed => {
+            let caller_digest = call.headers.get("content-digest").map_or(&[][..], HeaderValue::as_bytes);
+            shared.keys.call_digest(call.method.as_str(), &call.path, caller_digest)
         }
     };
-    let deadline = call.deadline.min(shared.now().after_millis(CLAIM_MILLIS));
+    let deadline = call.deadline.min(shared.now().after_millis(CLAIM_TIMEOUT_MILLIS));
     let ticket = ClaimTicket {
-        request: shared.request_number(),
+        request: shared.next_request_number(),
         key: shared.keys.claim_key(&call.account, key),
         body: digest,
         nonce: rand::random(),
         deadline,
     };
     let claim = HeldClaim { key: ticket.key, nonce: ticket.nonce, deadline };
-    let verdict = shared.desk.claims.wait(ticket.request);
-    shared.raise(Event::Claim(ticket));
+    let verdict = shared.pending.claims.register(ticket.request);
+    shared.try_send_event(Event::Claim(ticket));
     let unavailable = FinalError::not_run("claims_unavailable", "the call cannot be recorded now", 2_000);
-    // The kernel answers by the deadline; the slack is for its tick.
-    let wait = shared.until(deadline) + Duration::from_secs(1);
-    let verdict = tokio::time::timeout(wait, verdict).await.ok().and_then(Result::ok);
+    // The kernel answers by the deadline; the extra second allows for its tick.
+    let timeout = shared.time_until(deadline) + Duration::from_secs(1);
+    let verdict = tokio::time::timeout(timeout, verdict).await.ok().and_then(Result::ok);
     let name = verdict.as_ref().map_or("unanswered", verdict_name);
     shared.metrics.claims.get_or_create(&KindLabel::new(name)).inc();
     match verdict {
@@ -272,34 +273,34 @@
 }
 
 fn recorded_response(text: &str) -> Result<Response<CallerBody>, FinalError> {
-    let lost =
+    let lost_answer =
         || FinalError::ran(409, "answer_not_kept", "the call ran; its answer was not kept", RanState::Yes);
-    let recorded: RecordedAnswer = serde_json::from_str(text).map_err(|_error| lost())?;
-    let body = recorded.body.ok_or_else(lost)?;
+    let recorded: RecordedAnswer = serde_json::from_str(text).map_err(|_error| lost_answer())?;
+    let body = recorded.body.ok_or_else(lost_answer)?;
     let response = Response::builder()
         .status(recorded.status)
         .header("content-type", recorded.content_type)
         .header("spanfold-replayed", "yes")
         .body(full_body(body));
-    response.map_err(|_error| lost())
+    response.map_err(|_error| lost_answer())
 }
 
-/// Records the end of a claimed call, and waits a little for the record to stand.
+/// Records that a claimed call finished, and waits briefly until the record is stored.
 async fn settle(shared: &Arc<SharedState>, claim: &HeldClaim, answer: Option<String>) {
-    let settled = shared.desk.settlements.wait(claim.nonce);
-    shared.raise(Event::Settle { key: claim.key, nonce: claim.nonce, answer });
-    // If it takes longer, the kernel goes on trying; a retry meanwhile hears "may have run".
-    let _ = tokio::time::timeout(SETTLE_WAIT, settled).await;
+    let settled = shared.pending.settlements.register(claim.nonce);
+    shared.try_send_event(Event::Settle { key: claim.key, nonce: claim.nonce, answer });
+    // If it takes longer, the kernel keeps trying; a retry meanwhile is answered "may have run".
+    let _ = tokio::time::timeout(SETTLE_TIMEOUT, settled).await;
 }
 
-/// Sends a call to an endpoint, to another one as long as it has certainly not run.
+/// Sends a call to an endpoint, and to another one while the call may safely be sent again.
 async fn run(
     shared: &Arc<SharedState>,
     call: &ServiceCall,
     mut body: CallBody,
     claim: Option<&HeldClaim>,
 ) -> Result<Response<Incoming>, FinalError> {
-    let gate = OpenGate::new(shared);
+    let gate = AdmissionGate::new(shared);
     let mut exclude = Vec::new();
     for attempt in 1.. {
         let arrival = Arrival {
@@ -313,11 +314,11 @@
             priority: call.priority,
             exclude: exclude.clone(),
         };
-        let to = gate.arrive(arrival).await?;
+        let target = gate.admit(arrival).await?;
         if claim.is_some_and(|claim| shared.now() >= claim.deadline) {
             return Err(FinalError::not_run("claim_late", "the claim was written too late to use", 1_000));
         }
-        let failure = match try_endpoint(shared, call, &to.endpoint, &mut body, &gate).await {
+        let failure = match try_endpoint(shared, call, &target.endpoint, &mut body, &gate).await {
             Ok(response) if refused_before_running(&response) => {
                 CallError::NotSent("refused before running".to_owned())
             }
@@ -327,12 +328,12 @@
             }
             Err(failure) => failure,
         };
-        log::info!(endpoint = to.endpoint.as_str(), error:% = failure; "endpoint.failed");
+        log::info!(endpoint = target.endpoint.as_str(), error:% = failure; "endpoint.failed");
         let ran = matches!(failure, CallError::Unknown(_));
-        gate.failed(if ran { FailureKind::Broken } else { FailureKind::Refused });
-        exclude.push(to.endpoint);
-        let again = (!ran || call.repeatable && claim.is_none()) && !matches!(body, CallBody::Spent);
-        if !again || attempt >= ATTEMPTS || !take_retry() || shared.now() >= call.deadline {
+        gate.report_failure(if ran { FailureKind::Broken } else { FailureKind::Refused });
+        exclude.push(target.endpoint);
+        let may_retry = (!ran || call.repeatable && claim.is_none()) && !matches!(body, CallBody::Consumed);
+        if !may_retry || attempt >= MAX_ATTEMPTS || !spend_retry() || shared.now() >= call.deadline {
             return Err(if ran {
                 FinalError::ran(502, "endpoint_failed", "the call may have run", RanState::Unknown)
             } else {
@@ -343,7 +344,7 @@
     unreachable!("the loop ends by a return")
 }
 
-/// An endpoint says by its own header that it refused a call before running it.
+/// Whether an endpoint states, by its own header, that it refused a call before running it.
 fn refused_before_running(response: &Response<Incoming>) -> bool {
     response.status() == 503 && response.headers().get("spanfold-ran").is_some_and(|value| value == "no")
 }
@@ -353,38 +354,43 @@
     call: &ServiceCall,
     endpoint: &str,
     body: &mut CallBody,
-    gate: &OpenGate,
+    gate: &AdmissionGate,
 ) -> Result<Response<Incoming>, CallError> {
     let address = address_of(shared, endpoint).and_then(|address| address.parse().ok());
     let address = address.ok_or_else(|| CallError::NotSent("not declared any more".to_owned()))?;
     let mut sender = EndpointClient::open(address).await?;
-    // The endpoint has begun; a slow answer must not keep others from it.
-    gate.progress(Outcome::FirstToken(Usage::default()));
-    let outgoing = match std::mem::replace(body, CallBody::Spent) {
-        CallBody::Whole(bytes) => {
-            *body = CallBody::Whole(bytes.clone());
+    // Reported once the connection is open, so that a slow answer does not block the endpoint for
+    // other requests.
+    gate.report_progress(Outcome::FirstToken(Usage::default()));
+    let outgoing = match std::mem::replace(body, CallBody::Consumed) {
+        CallBody::Buffered(bytes) => {
+            *body = CallBody::Buffered(bytes.clone());
             Full::new(bytes).map_err(|never| match never {}).boxed()
         }
         CallBody::Streamed(streamed) => *streamed,
-        CallBody::Spent => return Err(CallError::Unknown("the body was sent already".to_owned())),
+        CallBody::Consumed => return Err(CallError::Unknown("the body was sent already".to_owned())),
     };
     let mut request = Request::new(outgoing);
     *request.method_mut() = call.method.clone();
     *request.uri_mut() =
         call.path.parse().map_err(|_error| CallError::NotSent("malformed path".to_owned()))?;
-    *request.headers_mut() = passed_headers(&call.headers);
+    *request.headers_mut() = forwarded_headers(&call.headers);
     if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
         request.headers_mut().insert("host", host);
     }
     if let Ok(account) = HeaderValue::from_str(&call.account) {
         request.headers_mut().insert("spanfold-account", account);
     }
-    let answer = tokio::time::timeout(shared.until(call.deadline), sender.send_request(request)).await;
+    let answer = tokio::time::timeout(shared.time_until(call.deadline), sender.send_request(request)).await;
     let Ok(answer) = answer else { return Err(CallError::Unknown("no answer by the deadline".to_owned())) };
     answer.map_err(|error| CallError::Unknown(error.to_string()))
 }
 
-fn passed_headers(headers: &HeaderMap) -> HeaderMap {
-    let own = |name: &HeaderName| OWN_HEADERS.contains(&name.as_str());
-    headers.iter().filter(|(name, _)| !own(name)).map(|(name, value)| (name.clone(), value.clone())).collect()
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let is_unforwarded = |name: &HeaderName| UNFORWARDED_HEADERS.contains(&name.as_str());
+    headers
+        .iter()
+        .filter(|(name, _)| !is_unforwarded(name))
+        .map(|(name, value)| (name.clone(), value.clone()))
+        .collect()
 }
--- a/crates/spanfoldd/src/control.rs
+++ b/crates/spanfoldd/src/control.rs
@@ -1,9 +1,9 @@
-//! The control actor: the kernel on its own thread.
+//! The control actor, which runs the kernel on its own thread.
 //!
-//! Invariant: only this actor touches the kernel, and it never waits: effects are handed to
-//! traffic tasks. Its busy time is measured, because its budget is part of what users were promised.
+//! Invariant: only this actor accesses the kernel, and it never blocks: slow effects run as traffic
+//! tasks. Its busy time is measured, because users were promised a bound on it.
 
-use crate::carry::carry;
+use crate::effects::execute_effect;
 use crate::shared::SharedState;
 use kameo::Actor;
 use kameo::message::{Context, Message};
@@ -14,7 +14,7 @@
 use std::sync::{Arc, PoisonError};
 use std::time::Instant;
 
-/// The kernel and what carries out its effects.
+/// The actor that steps the kernel and executes its effects.
 #[derive(Actor)]
 pub(crate) struct ControlActor {
     kernel: Kernel,
@@ -36,11 +36,11 @@
     }
 
     fn step(&mut self, event: Event) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let now = self.shared.now();
         let is_tick = matches!(event, Event::Tick);
         if let Some(session) = &mut self.session {
-            // A lost line only makes the recording shorter.
+            // A line that cannot be written is only missing from the recording.
             let _ = writeln!(session, "{}", SessionLine::Input(now, event.clone()));
         }
         let effects = self.kernel.step(now, event);
@@ -51,16 +51,16 @@
             let _ = session.flush();
         }
         for effect in effects {
-            carry(&self.shared, effect);
+            execute_effect(&self.shared, effect);
         }
         if is_tick {
             self.refresh_report();
         }
-        self.shared.metrics.control_micros.inc_by(begun.elapsed().as_micros() as u64);
+        self.shared.metrics.control_micros.inc_by(started.elapsed().as_micros() as u64);
         self.shared.metrics.control_events.inc();
     }
 
-    /// What `/status` shows.
+    /// Rebuilds the report that `/status` returns.
     fn refresh_report(&self) {
         let world = self.kernel.world();
         let now = self.shared.now();
@@ -104,7 +104,7 @@
             "held_pieces": self.kernel.plugin::<CellTable>("cell").map_or(0, CellTable::held_count),
             "claims": self.kernel.plugin::<ClaimTable>("claims").map_or(0, ClaimTable::row_count),
             "open_requests": self.kernel.plugin::<RequestTracker>("entry").map_or(0, RequestTracker::open_count),
-            "bypassed": self.kernel.plugin::<RequestTracker>("entry").map_or(0, |desk| desk.bypassed),
+            "bypassed": self.kernel.plugin::<RequestTracker>("entry").map_or(0, |tracker| tracker.bypassed),
             "configuration_bytes":
                 self.kernel.plugin::<ConfigurationStore>("configuration").map_or(0, ConfigurationStore::chunk_bytes),
         });
--- a/crates/spanfoldd/src/daemon.rs
+++ b/crates/spanfoldd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One running VM: its listeners, its control thread and its tasks.
+//! One running VM: its listeners, control thread and tasks.
 
 use crate::caller;
 use crate::control::ControlActor;
@@ -16,33 +16,33 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// Messages of peers that wait for the control thread.
-const INBOX: usize = 4_096;
-/// Time for the balancer to notice that this VM is not ready any more.
+/// Capacity of the queue of peer messages for the control thread.
+const MAX_INBOX_MESSAGES: usize = 4_096;
+/// Time in which the balancer notices that this VM is no longer ready.
 const BALANCER_DRAIN_DELAY: Duration = Duration::from_secs(1);
-/// Period of looking whether requests are still in flight.
+/// Interval of checks for requests that are still in flight.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why a daemon could not start.
+/// The reason why a daemon could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
-    /// Its identity cannot be used.
+    /// The VM's certificate, key or authority cannot be used.
     #[error(transparent)]
     Identity(#[from] IdentityError),
-    /// A file cannot be read.
+    /// A file cannot be read or created.
     #[error("{file}: {cause}")]
     File {
         /// The file.
         file: String,
-        /// Why.
+        /// The system's error.
         cause: std::io::Error,
     },
-    /// An address cannot be listened on.
+    /// A listener cannot be bound to its address.
     #[error("cannot listen on {address}: {cause}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The system's error.
         cause: std::io::Error,
     },
 }
@@ -61,7 +61,7 @@
     /// Starts a VM. Must be called within a multi-thread tokio runtime.
     ///
     /// # Errors
-    /// If a file cannot be read or an address cannot be listened on.
+    /// If a file cannot be read or created, the identity cannot be used, or an address cannot be bound.
     pub async fn start(settings: Settings) -> Result<Self, DaemonError> {
         let file_error =
             |file: &std::path::Path, cause| DaemonError::File { file: file.display().to_string(), cause };
@@ -71,9 +71,9 @@
             PeerIdentity::read(&settings.name, &settings.certificate, &settings.key, &settings.authority)?;
         let caller_listener = listen(settings.callers).await?;
         let operator_listener = listen(settings.operators).await?;
-        let (callers, operators) = (local(&caller_listener), local(&operator_listener));
+        let (callers, operators) = (local_address(&caller_listener), local_address(&operator_listener));
         let incarnation: u64 = rand::random::<u64>() | 1;
-        let (inbox, received) = mpsc::channel(INBOX);
+        let (inbox, received) = mpsc::channel(MAX_INBOX_MESSAGES);
         let node = PeerNode::listen(identity, settings.peers, incarnation, inbox)?;
         let peers = node.address().unwrap_or(settings.peers);
         let origin = Instant::now();
@@ -91,11 +91,12 @@
             Arc::new(SharedState::new(SharedParts { settings, keys, incarnation, peers: node, origin }));
         let actor = ControlActor::new(Kernel::new(world), Arc::clone(&shared))
             .map_err(|cause| file_error(&session_file, cause))?;
-        // Unbounded: its length is bounded by open requests, and an end must never be lost.
+        // Unbounded, since the event that ends a request must never be lost; the number of open requests
+        // bounds its length.
         let control = ControlActor::spawn_in_thread_with_mailbox(actor, mailbox::unbounded());
         shared.set_control(control);
         let tasks = vec![
-            tokio::spawn(pass_messages(Arc::clone(&shared), received)),
+            tokio::spawn(forward_messages(Arc::clone(&shared), received)),
             tokio::spawn(tick(Arc::clone(&shared))),
             tokio::spawn(crate::platform_task::follow_vm_list(Arc::clone(&shared))),
             tokio::spawn(crate::platform_task::follow_head(Arc::clone(&shared))),
@@ -106,40 +107,43 @@
         Ok(Self { shared, callers, operators, peers, tasks })
     }
 
-    /// Address for callers.
+    /// Returns the address for callers.
     pub const fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Address for operators.
+    /// Returns the address for operators.
     pub const fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Address for peers.
+    /// Returns the address for peers.
     pub const fn peers(&self) -> SocketAddr {
         self.peers
     }
 
-    /// Stops as planned: leaves the balancer, gives up its roles, finishes what is in flight.
+    /// Performs a planned stop: leaves the balancer, gives up its roles, finishes requests in flight.
     ///
-    /// New requests are served until the balancer has had time to look elsewhere; after that they
+    /// New requests are served until the balancer has had time to choose other VMs; after that they
     /// are refused as not run.
     pub async fn stop(self) {
-        let grace = tokio::time::Instant::now() + Duration::from_millis(self.shared.settings.grace_millis);
+        let grace_deadline =
+            tokio::time::Instant::now() + Duration::from_millis(self.shared.settings.grace_millis);
         log::info!(name = self.shared.settings.name.as_str(); "daemon.stopping");
         self.shared.stopping.store(true, Ordering::SeqCst);
         tokio::time::sleep(BALANCER_DRAIN_DELAY).await;
-        self.shared.raise_surely(Event::Stop).await;
-        while self.shared.open_requests.load(Ordering::SeqCst) > 0 && tokio::time::Instant::now() < grace {
+        self.shared.send_event(Event::Stop).await;
+        while self.shared.open_requests.load(Ordering::SeqCst) > 0
+            && tokio::time::Instant::now() < grace_deadline
+        {
             tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
-        // The last answers' events and the last words to peers are still on their way.
+        // The events of the last answers and the last messages to peers may still be in transit.
         tokio::time::sleep(DRAIN_POLL_INTERVAL * 5).await;
         self.kill();
     }
 
-    /// Ends all tasks at once, as a crash would.
+    /// Aborts all tasks at once, as a crash would.
     pub fn kill(&self) {
         for task in &self.tasks {
             task.abort();
@@ -153,16 +157,16 @@
     TcpListener::bind(address).await.map_err(|cause| DaemonError::Listen { address, cause })
 }
 
-fn local(listener: &TcpListener) -> SocketAddr {
+fn local_address(listener: &TcpListener) -> SocketAddr {
     listener.local_addr().unwrap_or_else(|_| SocketAddr::from(([127, 0, 0, 1], 0)))
 }
 
-async fn pass_messages(
+async fn forward_messages(
     shared: Arc<SharedState>,
     mut received: mpsc::Receiver<spanfold_peer::ReceivedMessage>,
 ) {
     while let Some(message) = received.recv().await {
-        shared.raise(Event::Receive { from: message.from, message: message.message });
+        shared.try_send_event(Event::Receive { from: message.from, message: message.message });
     }
 }
 
@@ -171,6 +175,6 @@
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
-        shared.raise(Event::Tick);
+        shared.try_send_event(Event::Tick);
     }
 }
--- a/crates/spanfoldd/src/carry.rs
+++ b/crates/spanfoldd/src/effects.rs
@@ -1,55 +1,55 @@
-//! Carries out the kernel's effects.
+//! Executes the kernel's effects.
 //!
-//! Invariant: nothing here waits; what takes time becomes a task on the traffic threads, whose
-//! result comes back as an event.
+//! Invariant: nothing here blocks. An effect that takes time becomes a task on the traffic threads,
+//! which returns its result as an event.
 
-use crate::desk::Decision;
+use crate::pending_answers::Decision;
 use crate::platform_task;
 use crate::probe;
 use crate::shared::SharedState;
 use spanfold_kernel::Effect;
 use std::sync::{Arc, PoisonError};
 
-/// Carries out one effect.
-pub(crate) fn carry(shared: &Arc<SharedState>, effect: Effect) {
+/// Executes one effect.
+pub(crate) fn execute_effect(shared: &Arc<SharedState>, effect: Effect) {
     match effect {
         Effect::Dispatch { request, endpoint, import, priority } => {
             let decision = Decision::Dispatch { endpoint, import, priority };
-            shared.desk.decisions.answer(&request, decision);
+            shared.pending.decisions.answer(&request, decision);
         }
         Effect::Refuse { request, reason, retry_after_millis } => {
-            shared.desk.decisions.answer(&request, Decision::Refuse { reason, retry_after_millis });
+            shared.pending.decisions.answer(&request, Decision::Refuse { reason, retry_after_millis });
         }
         Effect::Send { to, message } => {
             let addresses = shared.vm_addresses.read().unwrap_or_else(PoisonError::into_inner);
             if let Some(address) = addresses.get(&to).copied() {
                 drop(addresses);
-                // The line's task must be started on the traffic threads.
+                // The task of the peer's send queue must be started on the traffic threads.
                 let _traffic = shared.traffic.enter();
                 shared.peers.send(&to, address, &message);
             }
         }
         Effect::ClaimAnswer { request, verdict } => {
-            shared.desk.claims.answer(&request, verdict);
+            shared.pending.claims.answer(&request, verdict);
         }
         Effect::Settled { nonce } => {
-            shared.desk.settlements.answer(&nonce, ());
+            shared.pending.settlements.answer(&nonce, ());
         }
         Effect::WatchConfiguration { hold } => {
-            shared.watching.send_replace(hold);
+            shared.should_watch_head.send_replace(hold);
         }
         Effect::Log { name, text } => log::info!(detail = text.as_str(); "{name}"),
         Effect::Custom { plugin, text } => {
             log::debug!(plugin = plugin.as_str(), text = text.as_str(); "custom");
         }
-        slow => carry_later(shared, slow),
+        async_effect => spawn_effect_task(shared, async_effect),
     }
 }
 
-fn carry_later(shared: &Arc<SharedState>, effect: Effect) {
-    let task_state = Arc::clone(shared);
+fn spawn_effect_task(shared: &Arc<SharedState>, effect: Effect) {
+    let task_shared = Arc::clone(shared);
     shared.traffic.spawn(async move {
-        let shared = task_state;
+        let shared = task_shared;
         match effect {
             Effect::CreateLog { shard, sequence, text } => {
                 platform_task::create_log(&shared, shard, sequence, &text).await;
--- a/crates/spanfoldd/src/endpoint_client.rs
+++ b/crates/spanfoldd/src/endpoint_client.rs
@@ -1,4 +1,4 @@
-//! HTTP towards endpoints.
+//! The HTTP client for endpoints.
 //!
 //! Invariant: [`CallError::NotSent`] is returned only if no byte of the request left this VM.
 
@@ -15,15 +15,15 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// A connection that takes longer has failed.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Idle connections are closed before most endpoints would.
+/// Time after which an attempt to connect fails.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after which an idle connection is closed; most endpoints would close it later.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A request body towards an endpoint.
+/// The body of a request to an endpoint.
 pub(crate) type OutgoingBody = BoxBody<Bytes, Box<dyn std::error::Error + Send + Sync>>;
 
-/// Why a call to an endpoint failed.
+/// The reason why a call to an endpoint failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CallError {
     #[error("not sent: {0}")]
@@ -32,7 +32,7 @@
     Unknown(String),
 }
 
-/// Calls to endpoints, over kept connections where a call may be repeated.
+/// A client that pools connections for the calls that may be repeated.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointClient {
     pooled: Client<HttpConnector, Full<Bytes>>,
@@ -42,12 +42,12 @@
     pub(crate) fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let pooled = Client::builder(TokioExecutor::new()).pool_idle_timeout(IDLE_TIMEOUT).build(connector);
         Self { pooled }
     }
 
-    /// Sends a request that may be repeated.
+    /// Sends a request that may be repeated, over a pooled connection.
     pub(crate) async fn send(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, CallError> {
         self.pooled.request(request).await.map_err(|error| {
             if error.is_connect() {
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Reads a small answer whole.
+    /// Sends a request that may be repeated and reads its small answer whole.
     pub(crate) async fn read(
         &self,
         request: Request<Full<Bytes>>,
@@ -76,13 +76,13 @@
             .unwrap_or_else(|_| Err(CallError::Unknown("timeout".to_owned())))
     }
 
-    /// Opens a connection of its own for a call that may not be repeated.
+    /// Opens a separate connection for a call that may not be repeated.
     ///
-    /// The body stays with the caller until the connection stands, so that a refused connection
-    /// leaves it untouched.
+    /// The call's body is passed only after the connection is established, so a refused connection
+    /// does not consume it.
     pub(crate) async fn open(address: SocketAddr) -> Result<http1::SendRequest<OutgoingBody>, CallError> {
         let not_sent = |error: &dyn std::fmt::Display| CallError::NotSent(error.to_string());
-        let socket = tokio::time::timeout(CONNECT, TcpStream::connect(address))
+        let socket = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
             .map_err(|_error| CallError::NotSent("timeout".to_owned()))?
             .map_err(|error| not_sent(&error))?;
@@ -90,7 +90,7 @@
         let (sender, connection) =
             http1::handshake(TokioIo::new(socket)).await.map_err(|error| not_sent(&error))?;
         tokio::spawn(async move {
-            // Its errors come out at the sender.
+            // The sender returns the connection's errors.
             let _ = connection.await;
         });
         Ok(sender)
--- a/crates/spanfoldd/src/logging.rs
+++ b/crates/spanfoldd/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines: time, level, event name, and the event's own fields.
+//! Logging as JSON lines: time, level, event name, and the fields of the event.
 
 use log::kv::{Key, Value, VisitSource};
 use serde_json::{Map, json};
@@ -9,7 +9,7 @@
 use std::sync::mpsc::{Receiver, sync_channel};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Collects the fields of one record.
+/// Collects the fields of one log record.
 struct FieldReader(Map<String, serde_json::Value>);
 
 impl<'kvs> VisitSource<'kvs> for FieldReader {
@@ -19,13 +19,13 @@
     }
 }
 
-/// Lines that wait for a slow reader of standard output; beyond them lines are dropped and counted.
-const LINES_WAITING: usize = 4_096;
+/// Bound on lines queued for a slow reader of standard output; further lines are dropped and counted.
+const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Log lines dropped so far, because the reader of standard output was too slow.
+/// Number of log lines dropped because the reader of standard output was too slow.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Log lines dropped so far.
+/// Returns the number of log lines dropped so far.
 ///
 /// # Examples
 /// ```
@@ -35,7 +35,7 @@
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Sends logs of `level` and above to `file`, or to standard error.
+/// Writes logs of `level` and above to `file`, or to standard error.
 ///
 /// # Errors
 /// If the file cannot be opened or logging was set up before.
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-/// Sends logs of `level` and above to standard output, never waiting for its reader.
+/// Writes logs of `level` and above to standard output, never blocking on its reader.
 ///
 /// # Errors
 /// If the level is unknown or logging was set up before.
@@ -65,8 +65,8 @@
 /// ```
 pub fn start_output_logging(level: &str) -> Result<(), Box<dyn std::error::Error>> {
     let dispatch = dispatch(level)?;
-    let (lines, waiting) = sync_channel::<String>(LINES_WAITING);
-    std::thread::Builder::new().name("log".to_owned()).spawn(move || write_lines(&waiting))?;
+    let (lines, queued) = sync_channel::<String>(MAX_QUEUED_LINES);
+    std::thread::Builder::new().name("log".to_owned()).spawn(move || write_lines(&queued))?;
     let output = fern::Output::call(move |record| {
         if lines.try_send(record.args().to_string()).is_err() {
             DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
@@ -76,17 +76,17 @@
     Ok(())
 }
 
-/// Writes lines as their reader takes them, and after a gap how many it misses.
-fn write_lines(waiting: &Receiver<String>) {
-    let mut told = 0;
-    while let Ok(line) = waiting.recv() {
+/// Writes queued lines, and after dropped lines a line with their number.
+fn write_lines(queued: &Receiver<String>) {
+    let mut reported = 0;
+    while let Ok(line) = queued.recv() {
         let mut output = std::io::stdout().lock();
-        // Without a reader there is nobody to tell.
+        // A failed write is ignored: without a reader there is nowhere to report it.
         let _ = writeln!(output, "{line}");
         let dropped = dropped_log_lines();
-        if dropped > told {
-            let _ = writeln!(output, "{}", dropped_line(dropped - told, dropped));
-            told = dropped;
+        if dropped > reported {
+            let _ = writeln!(output, "{}", dropped_line(dropped - reported, dropped));
+            reported = dropped;
         }
     }
 }
--- a/crates/spanfoldd/src/main.rs
+++ b/crates/spanfoldd/src/main.rs
@@ -1,4 +1,4 @@
-//! `spanfoldd`: the daemon of one entry VM.
+//! The command line of `spanfoldd`, the daemon of one entry VM.
 
 use bpaf::Bpaf;
 use spanfold_declare::{GatewaySettings, Settings, SettingsRow, gateway_settings_table, settings_table};
@@ -12,9 +12,9 @@
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
 /// Exit code for settings with findings.
-const BAD_SETTINGS: u8 = 2;
+const EXIT_BAD_SETTINGS: u8 = 2;
 /// Exit code for a daemon that could not start.
-const NOT_STARTED: u8 = 3;
+const EXIT_NOT_STARTED: u8 = 3;
 
 /// The daemon of one entry VM.
 #[derive(Clone, Debug, Bpaf)]
@@ -53,16 +53,16 @@
 fn main() -> ExitCode {
     match arguments().run() {
         Arguments::Gateway { print_settings: true, .. } => {
-            print_table(gateway_settings_table());
+            print_settings_table(gateway_settings_table());
             ExitCode::SUCCESS
         }
         Arguments::Gateway { settings, check, .. } => match read_gateway_settings(&settings) {
             Err(code) => code,
             Ok(_) if check => ExitCode::SUCCESS,
-            Ok(read) => run_gateway(read, &settings),
+            Ok(new_settings) => run_gateway(new_settings, &settings),
         },
         Arguments::PrintSettings { .. } => {
-            print_table(settings_table());
+            print_settings_table(settings_table());
             ExitCode::SUCCESS
         }
         Arguments::Run { settings, check } => {
@@ -71,13 +71,13 @@
                 Ok(text) => text,
                 Err(error) => {
                     eprintln!("{file}: {error}");
-                    return ExitCode::from(BAD_SETTINGS);
+                    return ExitCode::from(EXIT_BAD_SETTINGS);
                 }
             };
             match Settings::parse(&file, &text) {
                 Err(findings) => {
                     eprintln!("{findings}");
-                    ExitCode::from(BAD_SETTINGS)
+                    ExitCode::from(EXIT_BAD_SETTINGS)
                 }
                 Ok(settings) if check => {
                     print!("{}", settings.print());
@@ -89,7 +89,7 @@
     }
 }
 
-fn print_table(table: &[SettingsRow]) {
+fn print_settings_table(table: &[SettingsRow]) {
     let mut section = "";
     for row in table {
         if row.section != section {
@@ -102,14 +102,14 @@
 
 fn run(settings: Settings) -> ExitCode {
     if let Err(error) = start_logging(&settings.log_level, settings.log_file.as_deref()) {
-        eprintln!("cannot log: {error}");
-        return ExitCode::from(NOT_STARTED);
+        eprintln!("cannot set up logging: {error}");
+        return ExitCode::from(EXIT_NOT_STARTED);
     }
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
             eprintln!("cannot start threads: {error}");
-            return ExitCode::from(NOT_STARTED);
+            return ExitCode::from(EXIT_NOT_STARTED);
         }
     };
     runtime.block_on(async {
@@ -117,7 +117,7 @@
             Ok(daemon) => daemon,
             Err(error) => {
                 eprintln!("{error}");
-                return ExitCode::from(NOT_STARTED);
+                return ExitCode::from(EXIT_NOT_STARTED);
             }
         };
         wait_for_signal().await;
@@ -130,35 +130,35 @@
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| {
         eprintln!("{file}: {error}");
-        ExitCode::from(BAD_SETTINGS)
+        ExitCode::from(EXIT_BAD_SETTINGS)
     })?;
     GatewaySettings::parse(&file, &text).map_err(|findings| {
         eprintln!("{findings}");
-        ExitCode::from(BAD_SETTINGS)
+        ExitCode::from(EXIT_BAD_SETTINGS)
     })
 }
 
 fn run_gateway(settings: GatewaySettings, path: &Path) -> ExitCode {
     if let Err(error) = start_output_logging(&settings.log_level) {
-        eprintln!("cannot log: {error}");
-        return ExitCode::from(NOT_STARTED);
+        eprintln!("cannot set up logging: {error}");
+        return ExitCode::from(EXIT_NOT_STARTED);
     }
-    // The VM has a part of one core: a second traffic thread would only add switches.
+    // The VM has a share of one core: a second traffic thread would only add context switches.
     let runtime = match tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
             eprintln!("cannot start threads: {error}");
-            return ExitCode::from(NOT_STARTED);
+            return ExitCode::from(EXIT_NOT_STARTED);
         }
     };
     runtime.block_on(async {
-        let reload = tokio::spawn(follow_reloads(path.to_owned(), settings.clone()));
+        let reload = tokio::spawn(check_settings_on_hangup(path.to_owned(), settings.clone()));
         let daemon = match GatewayDaemon::start(settings, spanfold_platform::dialect()).await {
             Ok(daemon) => daemon,
             Err(error) => {
                 log::error!(cause:% = error; "gateway.not_started");
                 eprintln!("{error}");
-                return ExitCode::from(NOT_STARTED);
+                return ExitCode::from(EXIT_NOT_STARTED);
             }
         };
         wait_for_signal().await;
@@ -168,15 +168,15 @@
     })
 }
 
-/// Checks the settings file at each SIGHUP and says what a restart would change.
+/// Checks the settings file at each SIGHUP and logs whether a restart would change anything.
 ///
-/// No setting of the gateway changes while it runs: all are addresses and bounds that peers and
-/// the platform count on. A faulty file leaves the gateway as it is.
-async fn follow_reloads(path: PathBuf, settings: GatewaySettings) {
+/// No setting of the gateway changes while it runs, because all are addresses and bounds that peers
+/// and the platform rely on. An invalid file does not affect the running gateway.
+async fn check_settings_on_hangup(path: PathBuf, settings: GatewaySettings) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else { return };
     while hangup.recv().await.is_some() {
         let outcome = match read_gateway_settings(&path) {
-            Ok(read) if read == settings => "unchanged",
+            Ok(new_settings) if new_settings == settings => "unchanged",
             Ok(_) => "changes wait for a restart",
             Err(_) => "rejected",
         };
--- a/crates/spanfoldd/src/metrics.rs
+++ b/crates/spanfoldd/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The daemon's metrics, in the Prometheus text form.
+//! The daemon's metrics, in the Prometheus text format.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -9,7 +9,7 @@
 
 /// All metrics of one daemon.
 #[derive(Debug)]
-pub(crate) struct MetricsBook {
+pub(crate) struct MetricsTable {
     registry: Registry,
     pub answers: Family<KindLabel, Counter>,
     pub refusals: Family<KindLabel, Counter>,
@@ -19,7 +19,7 @@
     pub platform_calls: Family<KindLabel, Gauge>,
     pub first_token_seconds: Histogram,
     pub events_out: Counter,
-    pub exported_pieces: Counter,
+    pub exported_blocks: Counter,
     pub control_micros: Counter,
     pub control_events: Counter,
     pub peer_bytes: Gauge,
@@ -28,10 +28,10 @@
     pub generation: Gauge,
 }
 
-impl MetricsBook {
+impl MetricsTable {
     pub(crate) fn new() -> Self {
         let mut registry = Registry::with_prefix("spanfold");
-        let book = Self {
+        let table = Self {
             registry: Registry::default(),
             answers: Family::default(),
             refusals: Family::default(),
@@ -41,7 +41,7 @@
             platform_calls: Family::default(),
             first_token_seconds: Histogram::new(exponential_buckets(0.005, 1.6, 18)),
             events_out: Counter::default(),
-            exported_pieces: Counter::default(),
+            exported_blocks: Counter::default(),
             control_micros: Counter::default(),
             control_events: Counter::default(),
             peer_bytes: Gauge::default(),
@@ -49,33 +49,33 @@
             open_requests: Gauge::default(),
             generation: Gauge::default(),
         };
-        registry.register("answers", "Answers to callers, by HTTP status", book.answers.clone());
-        registry.register("refusals", "Requests refused as not run, by reason", book.refusals.clone());
+        registry.register("answers", "Answers to callers, by HTTP status", table.answers.clone());
+        registry.register("refusals", "Requests refused as not run, by reason", table.refusals.clone());
         registry.register(
             "prompt_tokens",
             "Prompt tokens, by where their state came from",
-            book.prompt_tokens.clone(),
+            table.prompt_tokens.clone(),
         );
-        registry.register("recoveries", "Streams recovered, by way", book.recoveries.clone());
-        registry.register("claims", "Claims, by verdict", book.claims.clone());
+        registry.register("recoveries", "Streams recovered, by way", table.recoveries.clone());
+        registry.register("claims", "Claims, by verdict", table.claims.clone());
         registry.register(
             "platform_calls",
             "Calls to the key-value service, by kind",
-            book.platform_calls.clone(),
+            table.platform_calls.clone(),
         );
-        registry.register("first_token_seconds", "Time to first token", book.first_token_seconds.clone());
-        registry.register("events_out", "Streamed events passed on", book.events_out.clone());
-        registry.register("exported_pieces", "Pieces written to stores", book.exported_pieces.clone());
-        registry.register("control_micros", "Busy time of the control thread", book.control_micros.clone());
-        registry.register("control_events", "Events handled by the kernel", book.control_events.clone());
-        registry.register("peer_bytes", "Bytes of messages sent to other VMs", book.peer_bytes.clone());
-        registry.register("peer_messages", "Messages sent to other VMs", book.peer_messages.clone());
-        registry.register("open_requests", "Requests in flight at this VM", book.open_requests.clone());
-        registry.register("configuration_generation", "Generation in force", book.generation.clone());
-        Self { registry, ..book }
+        registry.register("first_token_seconds", "Time to first token", table.first_token_seconds.clone());
+        registry.register("events_out", "Streamed events passed on", table.events_out.clone());
+        registry.register("exported_pieces", "Pieces written to stores", table.exported_blocks.clone());
+        registry.register("control_micros", "Busy time of the control thread", table.control_micros.clone());
+        registry.register("control_events", "Events handled by the kernel", table.control_events.clone());
+        registry.register("peer_bytes", "Bytes of messages sent to other VMs", table.peer_bytes.clone());
+        registry.register("peer_messages", "Messages sent to other VMs", table.peer_messages.clone());
+        registry.register("open_requests", "Requests in flight at this VM", table.open_requests.clone());
+        registry.register("configuration_generation", "Generation in force", table.generation.clone());
+        Self { registry, ..table }
     }
 
-    /// The text form.
+    /// Encodes the metrics in the text format.
     pub(crate) fn encode(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
--- a/crates/spanfoldd/src/operators.rs
+++ b/crates/spanfoldd/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: `/healthz`, `/readyz`, `/metrics`, `/status`, `/burn`.
+//! Answers on the operators' listener: `/healthz`, `/readyz`, `/metrics`, `/status`, `/burn`.
 
 use crate::caller::{CallerBody, text_response};
 use crate::shared::SharedState;
@@ -12,7 +12,7 @@
     match request.uri().path() {
         "/healthz" => text_response(200, "ok\n"),
         "/readyz" => {
-            // Without a configuration nothing can be served; the balancer should look elsewhere.
+            // Without a configuration nothing can be served, so the balancer must choose another VM.
             if shared.is_stopping() {
                 text_response(503, "stopping\n")
             } else if shared.catalogue().0 == 0 {
--- a/crates/spanfoldd/src/platform_task.rs
+++ b/crates/spanfoldd/src/platform_task.rs
@@ -1,7 +1,7 @@
-//! Tasks that speak with the platform.
+//! Tasks that call the platform's VM list and key-value service.
 //!
-//! Invariant: an unanswered write is reported as unknown, never as failed; the kernel decides
-//! what follows from that.
+//! Invariant: an unanswered write is reported as unknown, never as failed; the kernel decides how
+//! to proceed.
 
 use crate::shared::SharedState;
 use spanfold_declare::{Catalogue, Declarations, Document};
@@ -12,42 +12,44 @@
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
 
-/// Period of reading the VM list.
-const LIST_PERIOD: Duration = Duration::from_secs(1);
-/// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(300);
-/// A watch is made anew after this long, in case it has silently died.
-const WATCH_LIFE: Duration = Duration::from_secs(20);
-/// Entries of one page of a claim log.
-const LOG_PAGE: u32 = 64;
+/// Interval of reads of the VM list.
+const LIST_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay before the next call after a failed one.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Time after which a watch is renewed, in case its connection was lost without an error.
+const WATCH_LIFETIME: Duration = Duration::from_secs(20);
+/// Entries read in one page of a claim log.
+const LOG_PAGE_ENTRIES: u32 = 64;
 
-/// Reads the VM list again and again.
+/// Polls the VM list until the process ends.
 pub(crate) async fn follow_vm_list(shared: Arc<SharedState>) {
     loop {
         match shared.vm_list.read().await {
             Ok(rows) => {
                 let vms: Vec<ListedVm> = rows.iter().filter_map(listed_vm).collect();
-                note_addresses(&shared, &vms);
-                shared.raise_surely(Event::Listed { vms }).await;
+                update_addresses(&shared, &vms);
+                shared.send_event(Event::Listed { vms }).await;
             }
             Err(error) => log::warn!(error:% = error; "vm_list.unread"),
         }
-        tokio::time::sleep(LIST_PERIOD).await;
+        tokio::time::sleep(LIST_INTERVAL).await;
     }
 }
 
-/// Addresses are kept while a VM is listed; a VM that left the list may still finish its streams.
-fn note_addresses(shared: &SharedState, vms: &[ListedVm]) {
+/// Records the addresses of listed entry VMs and discards those of unlisted ones.
+///
+/// A VM that was removed from the list may still finish its streams.
+fn update_addresses(shared: &SharedState, vms: &[ListedVm]) {
     let mut addresses = shared.vm_addresses.write().unwrap_or_else(PoisonError::into_inner);
     for vm in vms.iter().filter(|vm| vm.role == VmRole::Entry) {
         if let Ok(address) = vm.address.parse() {
             addresses.insert(vm.name.clone(), address);
         }
     }
-    let listed = |name: &str| vms.iter().any(|vm| vm.name == name);
-    addresses.retain(|name, _| listed(name));
+    let is_listed = |name: &str| vms.iter().any(|vm| vm.name == name);
+    addresses.retain(|name, _| is_listed(name));
     drop(addresses);
-    shared.peers.retain(listed);
+    shared.peers.retain(is_listed);
 }
 
 fn listed_vm(row: &PlatformVm) -> Option<ListedVm> {
@@ -66,12 +68,12 @@
     })
 }
 
-/// Holds the data centre's watch on the head record while the kernel says so.
+/// Watches the head record for the data centre while the kernel requests it.
 pub(crate) async fn follow_head(shared: Arc<SharedState>) {
-    let mut watching = shared.watching.subscribe();
+    let mut should_watch_head = shared.should_watch_head.subscribe();
     loop {
-        if !*watching.borrow_and_update() {
-            if watching.changed().await.is_err() {
+        if !*should_watch_head.borrow_and_update() {
+            if should_watch_head.changed().await.is_err() {
                 return;
             }
             continue;
@@ -80,34 +82,34 @@
             Ok((head, revision)) => {
                 if head.generation > 0 || shared.catalogue().0 > 0 {
                     let event = Event::HeadRead { generation: head.generation, digests: head.digests };
-                    shared.raise_surely(event).await;
+                    shared.send_event(event).await;
                 }
                 let change = shared.key_value.wait_for_change(HEAD_KEY, revision);
                 tokio::select! {
-                    result = tokio::time::timeout(WATCH_LIFE, change) => {
+                    result = tokio::time::timeout(WATCH_LIFETIME, change) => {
                         if matches!(result, Ok(Err(_))) {
-                            tokio::time::sleep(PAUSE).await;
+                            tokio::time::sleep(RETRY_DELAY).await;
                         }
                     }
-                    _ = watching.changed() => {}
+                    _ = should_watch_head.changed() => {}
                 }
             }
             Err(error) => {
                 log::warn!(error:% = error; "head.unread");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Reads chunks one by one, so that a call that fails costs none of those before it.
+/// Reads chunks one by one, so that a failed call does not lose the chunks before it.
 pub(crate) async fn read_chunks(shared: &SharedState, digests: &[String]) {
     for digest in digests {
         match read_bundle(&shared.key_value, std::slice::from_ref(digest)).await {
             Ok(texts) if texts.is_empty() => log::warn!(digest = digest.as_str(); "chunk.missing"),
             Ok(texts) => {
                 let texts = texts.into_iter().map(Arc::from).collect();
-                shared.raise_surely(Event::ChunksRead { texts }).await;
+                shared.send_event(Event::ChunksRead { texts }).await;
             }
             Err(error) => {
                 log::warn!(error:% = error; "chunks.unread");
@@ -115,11 +117,11 @@
             }
         }
     }
-    // Nothing more is on its way.
-    shared.raise_surely(Event::ChunksRead { texts: Vec::new() }).await;
+    // An empty list marks the end: no more chunks follow.
+    shared.send_event(Event::ChunksRead { texts: Vec::new() }).await;
 }
 
-/// Parses a generation on a traffic thread, so that the control thread need not.
+/// Parses a configuration on a traffic thread, to save time of the control thread.
 pub(crate) async fn configure(shared: &SharedState, generation: u64, texts: Vec<Arc<str>>) {
     let parsed = tokio::task::spawn_blocking(move || {
         let text = texts.concat();
@@ -134,8 +136,9 @@
                 text: Arc::from(text),
                 catalogue: Some(Arc::clone(&catalogue)),
             };
-            // The kernel first: requests that see the new catalogue come behind the event.
-            shared.raise_surely(event).await;
+            // The event precedes the new catalogue: a request that uses the catalogue then reaches the
+            // kernel after the event.
+            shared.send_event(event).await;
             shared.set_catalogue(generation, catalogue);
         }
         Ok(Err(findings)) => log::error!(generation, findings:% = findings; "configuration.rejected"),
@@ -143,7 +146,7 @@
     }
 }
 
-/// Writes a newer head back to a platform that has lost it.
+/// Writes a newer head record back to a platform that has lost it.
 pub(crate) async fn restore_head(
     shared: &SharedState,
     generation: u64,
@@ -151,8 +154,8 @@
     texts: &[Arc<str>],
 ) {
     let result: Result<bool, PlatformError> = async {
-        let (standing, revision) = ConfigurationHead::read(&shared.key_value).await?;
-        if standing.generation >= generation {
+        let (current, revision) = ConfigurationHead::read(&shared.key_value).await?;
+        if current.generation >= generation {
             return Ok(false);
         }
         for text in texts {
@@ -177,37 +180,37 @@
 }
 
 fn log_key(shard: u32, sequence: u64) -> String {
-    // Fixed width, so that the order of keys is the order of entries.
+    // The fixed width makes the order of keys the order of entries.
     format!("spanfold/claims/{shard:06}/{sequence:016}")
 }
 
 pub(crate) async fn create_log(shared: &SharedState, shard: u32, sequence: u64, text: &str) {
     let reply = match shared.key_value.compare_and_swap(&log_key(shard, sequence), 0, text).await {
         Ok(SwapOutcome::Done) => CreateReply::Created,
-        Ok(SwapOutcome::Lost(Some(standing))) => CreateReply::Exists(standing.text),
+        Ok(SwapOutcome::Lost(Some(current))) => CreateReply::Exists(current.text),
         Ok(SwapOutcome::Lost(None)) => CreateReply::Unknown,
         Err(error) => {
             log::warn!(shard, sequence, error:% = error; "claims.unwritten");
             CreateReply::Unknown
         }
     };
-    shared.raise_surely(Event::LogCreated { shard, sequence, reply }).await;
+    shared.send_event(Event::LogCreated { shard, sequence, reply }).await;
 }
 
 pub(crate) async fn read_log(shared: &SharedState, shard: u32, from: u64) {
     let (mut entries, mut next, mut known) = (Vec::new(), from, true);
     loop {
         let (start, end) = (log_key(shard, next), log_key(shard, u64::MAX));
-        match shared.key_value.get_range(&start, &end, LOG_PAGE).await {
+        match shared.key_value.get_range(&start, &end, LOG_PAGE_ENTRIES).await {
             Ok(values) => {
-                let full = values.len() == LOG_PAGE as usize;
+                let is_full_page = values.len() == LOG_PAGE_ENTRIES as usize;
                 for value in values {
                     let sequence =
                         value.key.rsplit('/').next().and_then(|text| text.parse().ok()).unwrap_or(0);
                     entries.push(LogEntry { sequence, text: value.text });
                     next = sequence + 1;
                 }
-                if !full {
+                if !is_full_page {
                     break;
                 }
             }
@@ -218,17 +221,17 @@
             }
         }
     }
-    shared.raise_surely(Event::LogRead { shard, known, entries }).await;
+    shared.send_event(Event::LogRead { shard, known, entries }).await;
 }
 
-/// The key of the lease record on orders.
+/// Key of the record of the lease that permits orders.
 const LEASE_KEY: &str = "spanfold/orders";
 
 pub(crate) async fn read_lease(shared: &SharedState) {
     match shared.key_value.get(LEASE_KEY).await {
         Ok(value) => {
             let (revision, text) = value.map_or_else(Default::default, |value| (value.revision, value.text));
-            shared.raise_surely(Event::LeaseRead { revision, text }).await;
+            shared.send_event(Event::LeaseRead { revision, text }).await;
         }
         Err(error) => log::warn!(error:% = error; "lease.unread"),
     }
@@ -236,9 +239,9 @@
 
 pub(crate) async fn write_lease(shared: &SharedState, revision: u64, text: String) {
     match shared.key_value.compare_and_swap(LEASE_KEY, revision, &text).await {
-        Ok(SwapOutcome::Done) => shared.raise_surely(Event::LeaseWritten { text }).await,
+        Ok(SwapOutcome::Done) => shared.send_event(Event::LeaseWritten { text }).await,
         Ok(SwapOutcome::Lost(_)) => log::info!("lease.lost"),
-        // If it took effect, the next reading shows it as unchanged by others, and it is renewed.
+        // If the write took effect, the next read shows the lease unchanged by other VMs, and it is renewed.
         Err(error) => log::warn!(error:% = error; "lease.unwritten"),
     }
 }
--- a/crates/spanfoldd/src/probe.rs
+++ b/crates/spanfoldd/src/probe.rs
@@ -1,4 +1,4 @@
-//! Tasks that look after endpoints: probes, cache events, listings, exports.
+//! Tasks that call endpoints: probes, cache events, store listings, exports, releases and orders.
 
 use crate::endpoint_client::CallError;
 use crate::shared::SharedState;
@@ -12,12 +12,12 @@
 use std::sync::PoisonError;
 use std::time::{Duration, Instant};
 
-/// A probe that takes longer has failed.
+/// Time after which a probe, or another short call, fails.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// An export that takes longer is given up.
+/// Time after which an export is abandoned.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The address of an endpoint in the configuration in force.
+/// Returns the address of an endpoint in the configuration in force.
 pub(crate) fn address_of(shared: &SharedState, endpoint: &str) -> Option<String> {
     let (_, catalogue) = shared.catalogue();
     catalogue.declarations.endpoints.get(endpoint).map(|endpoint| endpoint.address.clone())
@@ -29,7 +29,7 @@
     shared.endpoints.read(request, PROBE_TIMEOUT).await
 }
 
-/// Probes an endpoint, and reads an engine's cache events if there are new ones.
+/// Probes an endpoint and, if an engine has new cache events, reads them.
 pub(crate) async fn probe(shared: &SharedState, endpoint: String) {
     let (_, catalogue) = shared.catalogue();
     let Some(declared) = catalogue.declarations.endpoints.get(&endpoint) else { return };
@@ -37,7 +37,7 @@
     if kind != EndpointKind::Engine {
         let ready =
             get(shared, format!("http://{address}/healthz")).await.ok().map(|(status, _)| status == 200);
-        shared.raise(Event::Probed { endpoint, ready, running: 0, waiting: 0, weights: None });
+        shared.try_send_event(Event::Probed { endpoint, ready, running: 0, waiting: 0, weights: None });
         return;
     }
     let answer = get(shared, format!("http://{address}/metrics")).await.ok();
@@ -46,7 +46,7 @@
     let ready = text.as_ref().map(|_| read("engine_ready") != Some(0));
     let (running, waiting) = (read("engine_running").unwrap_or(0), read("engine_waiting").unwrap_or(0));
     let sequence = read("engine_cache_sequence").unwrap_or(0);
-    let version = text.as_deref().and_then(|text| read_word(text, "engine_version"));
+    let version = text.as_deref().and_then(|text| read_metric(text, "engine_version"));
     let loading = read("engine_loading") == Some(1);
     let event = Event::Probed {
         endpoint: endpoint.clone(),
@@ -55,7 +55,7 @@
         waiting: waiting as u32,
         weights: version.map(|version| LoadedWeights { version, loading }),
     };
-    shared.raise(event);
+    shared.try_send_event(event);
     let after = cursor(shared, &endpoint);
     if ready.is_some() && sequence != after {
         read_cache_events(shared, &endpoint, &address, after).await;
@@ -73,28 +73,29 @@
         let Some(key) = event["key"].as_str().and_then(read_key) else { continue };
         // A later event on the same key overrides an earlier one.
         let is_stored = event["kind"] == "stored";
-        let (to, other) = if is_stored { (&mut stored, &mut evicted) } else { (&mut evicted, &mut stored) };
-        other.retain(|known| *known != key);
-        to.push(key);
+        let (matching, opposite) =
+            if is_stored { (&mut stored, &mut evicted) } else { (&mut evicted, &mut stored) };
+        opposite.retain(|listed| *listed != key);
+        matching.push(key);
     }
     set_cursor(shared, endpoint, last);
     let gap = answer["gap"].as_bool().unwrap_or(true);
-    shared.raise(Event::CacheRead { endpoint: endpoint.to_owned(), gap, stored, evicted });
+    shared.try_send_event(Event::CacheRead { endpoint: endpoint.to_owned(), gap, stored, evicted });
 }
 
 pub(crate) async fn list_store(shared: &SharedState, store: String, pool: String, whole: bool) {
     let Some(address) = address_of(shared, &store) else { return };
-    let place = format!("{store}/{pool}");
-    let after = if whole { None } else { Some(cursor(shared, &place)) };
+    let source = format!("{store}/{pool}");
+    let after = if whole { None } else { Some(cursor(shared, &source)) };
     let query = after.map(|after| format!("?after={after}")).unwrap_or_default();
     let Ok((200, body)) = get(shared, format!("http://{address}/kv/{pool}{query}")).await else { return };
     let Ok(answer) = serde_json::from_slice::<Value>(&body) else { return };
-    set_cursor(shared, &place, answer["generation"].as_u64().unwrap_or(0));
+    set_cursor(shared, &source, answer["generation"].as_u64().unwrap_or(0));
     let keys = |name: &str| -> Vec<u64> {
         let rows = answer[name].as_array().map_or(&[][..], Vec::as_slice);
         rows.iter().filter_map(|key| read_key(key.as_str()?)).collect()
     };
-    shared.raise(Event::StoreRead {
+    shared.try_send_event(Event::StoreRead {
         store,
         pool,
         whole: answer["whole"].as_bool().unwrap_or(false),
@@ -104,7 +105,7 @@
     });
 }
 
-/// Has an engine write pieces to a store; only those that it says are whole count as kept.
+/// Requests an engine to write blocks to a store; only blocks that it reports as exported count as stored.
 pub(crate) async fn export(
     shared: &SharedState,
     endpoint: String,
@@ -112,14 +113,14 @@
     pool: String,
     keys: &[u64],
 ) {
-    let begun = Instant::now();
-    let kept = order_export(shared, &endpoint, &store, &pool, keys).await.unwrap_or_default();
-    shared.metrics.exported_pieces.inc_by(kept.len() as u64);
-    let micros = begun.elapsed().as_micros() as u64;
-    shared.raise_surely(Event::Exported { store, endpoint, pool, keys: kept, micros }).await;
+    let started = Instant::now();
+    let exported = request_export(shared, &endpoint, &store, &pool, keys).await.unwrap_or_default();
+    shared.metrics.exported_blocks.inc_by(exported.len() as u64);
+    let micros = started.elapsed().as_micros() as u64;
+    shared.send_event(Event::Exported { store, endpoint, pool, keys: exported, micros }).await;
 }
 
-async fn order_export(
+async fn request_export(
     shared: &SharedState,
     endpoint: &str,
     store: &str,
@@ -128,8 +129,8 @@
 ) -> Option<Vec<u64>> {
     let engine = address_of(shared, endpoint)?;
     let target = address_of(shared, store)?;
-    let names: Vec<String> = keys.iter().map(|key| format!("{key:016x}")).collect();
-    let body = serde_json::json!({ "url": format!("http://{target}/kv/{pool}"), "keys": names });
+    let hex_keys: Vec<String> = keys.iter().map(|key| format!("{key:016x}")).collect();
+    let body = serde_json::json!({ "url": format!("http://{target}/kv/{pool}"), "keys": hex_keys });
     let request = Request::post(format!("http://{engine}/kv/export"))
         .header("content-type", "application/json")
         .body(Full::new(Bytes::from(body.to_string())))
@@ -141,7 +142,7 @@
     let answer: Value = serde_json::from_slice(&body).ok()?;
     let exported: Vec<u64> =
         answer["exported"].as_array()?.iter().filter_map(|key| read_key(key.as_str()?)).collect();
-    // In the order of the prompt, so that a run has no holes at its start.
+    // In the order of the prompt, so that a run of blocks has no gaps at its start.
     Some(keys.iter().copied().filter(|key| exported.contains(key)).collect())
 }
 
@@ -156,7 +157,7 @@
     }
 }
 
-/// Orders an engine to load a weight version, unless the order has become too old to send.
+/// Orders an engine to load a weight version, unless the order has expired.
 pub(crate) async fn order(
     shared: &SharedState,
     endpoint: &str,
@@ -174,7 +175,7 @@
         log::warn!(endpoint, fencing; "order.too_old");
         return;
     }
-    match shared.endpoints.read(request, shared.until(valid_until)).await {
+    match shared.endpoints.read(request, shared.time_until(valid_until)).await {
         Ok((200, _)) => log::info!(endpoint, target, fencing; "order.taken"),
         Ok((status, _)) => log::warn!(endpoint, status, fencing; "order.refused"),
         Err(error) => log::warn!(endpoint, error:% = error; "order.unanswered"),
@@ -186,19 +187,19 @@
 }
 
 fn read_gauge(text: &str, name: &str) -> Option<u64> {
-    read_word(text, name)?.parse::<f64>().ok().map(|value| value as u64)
+    read_metric(text, name)?.parse::<f64>().ok().map(|value| value as u64)
 }
 
-/// The second word of the line that begins with `name`.
-fn read_word(text: &str, name: &str) -> Option<String> {
+/// Returns the value, as text, of the metric `name`.
+fn read_metric(text: &str, name: &str) -> Option<String> {
     let line = text.lines().find(|line| line.split_whitespace().next() == Some(name))?;
     line.split_whitespace().nth(1).map(str::to_owned)
 }
 
-fn cursor(shared: &SharedState, place: &str) -> u64 {
-    shared.cursors.lock().unwrap_or_else(PoisonError::into_inner).get(place).copied().unwrap_or(0)
+fn cursor(shared: &SharedState, source: &str) -> u64 {
+    shared.cursors.lock().unwrap_or_else(PoisonError::into_inner).get(source).copied().unwrap_or(0)
 }
 
-fn set_cursor(shared: &SharedState, place: &str, value: u64) {
-    shared.cursors.lock().unwrap_or_else(PoisonError::into_inner).insert(place.to_owned(), value);
+fn set_cursor(shared: &SharedState, source: &str, value: u64) {
+    shared.cursors.lock().unwrap_or_else(PoisonError::into_inner).insert(source.to_owned(), value);
 }
--- a/crates/spanfoldd/src/secret.rs
+++ b/crates/spanfoldd/src/secret.rs
@@ -1,8 +1,8 @@
-//! Keys derived from the deployment's secret, and the resume tokens made with them.
+//! Keys derived from the deployment's secret, and the resume tokens signed with them.
 //!
-//! Invariant: a resume token is good only for the account that it was made for; any VM with the
-//! deployment's secret can check it without shared state. The token of a stream is made once and
-//! each event adds its offset in clear: an offset reveals nothing and lets nobody into a stream.
+//! Invariant: a resume token is valid only for the account that it was issued for; any VM with the
+//! deployment's secret can verify it without shared state. The token of a stream is issued once, and
+//! each event appends its offset in clear: an offset reveals nothing and grants no access to a stream.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -10,10 +10,10 @@
 use std::fmt;
 use std::path::Path;
 
-/// Bytes of a token's code.
-const CODE_BYTES: usize = 16;
+/// Bytes of a token's message authentication code.
+const MAC_BYTES: usize = 16;
 
-/// Keys of the deployment.
+/// Keys derived from the deployment's secret.
 #[derive(Clone)]
 pub(crate) struct SecretKeys {
     token: [u8; 32],
@@ -27,9 +27,9 @@
     }
 }
 
-/// Where a stream can be resumed.
+/// The endpoint and the stream at which a run can be resumed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct StreamPlace {
+pub(crate) struct StreamLocation {
     pub endpoint: String,
     pub stream: String,
 }
@@ -49,53 +49,53 @@
         }
     }
 
-    /// The token of a stream, bound to `account`.
-    pub(crate) fn stream_token(&self, account: &str, place: &StreamPlace) -> String {
-        let body = serde_json::to_vec(place).unwrap_or_default();
-        let code = self.code(account, &body);
-        format!("{}.{}", URL_SAFE_NO_PAD.encode(&body), URL_SAFE_NO_PAD.encode(code))
+    /// Returns the resume token of a stream, bound to `account`.
+    pub(crate) fn stream_token(&self, account: &str, location: &StreamLocation) -> String {
+        let body = serde_json::to_vec(location).unwrap_or_default();
+        let mac = self.mac(account, &body);
+        format!("{}.{}", URL_SAFE_NO_PAD.encode(&body), URL_SAFE_NO_PAD.encode(mac))
     }
 
-    /// Reads `TOKEN.OFFSET`; none if it was not made for `account` by this deployment.
-    pub(crate) fn read_event_id(&self, account: &str, id: &str) -> Option<(StreamPlace, u64)> {
+    /// Parses `TOKEN.OFFSET`; `None` unless this deployment issued it for `account`.
+    pub(crate) fn read_event_id(&self, account: &str, id: &str) -> Option<(StreamLocation, u64)> {
         let (token, offset) = id.rsplit_once('.')?;
-        let (body, code) = token.split_once('.')?;
+        let (body, mac) = token.split_once('.')?;
         let body = URL_SAFE_NO_PAD.decode(body).ok()?;
-        let code: [u8; CODE_BYTES] = URL_SAFE_NO_PAD.decode(code).ok()?.try_into().ok()?;
-        if !same_code(&code, &self.code(account, &body)) {
+        let mac: [u8; MAC_BYTES] = URL_SAFE_NO_PAD.decode(mac).ok()?.try_into().ok()?;
+        if !equal_macs(&mac, &self.mac(account, &body)) {
             return None;
         }
         Some((serde_json::from_slice(&body).ok()?, offset.parse().ok()?))
     }
 
-    fn code(&self, account: &str, body: &[u8]) -> [u8; CODE_BYTES] {
+    fn mac(&self, account: &str, body: &[u8]) -> [u8; MAC_BYTES] {
         let mut hasher = blake3::Hasher::new_keyed(&self.token);
         hasher.update(account.as_bytes()).update(&[0]).update(body);
-        let mut code = [0; CODE_BYTES];
-        code.copy_from_slice(&hasher.finalize().as_bytes()[..CODE_BYTES]);
-        code
+        let mut mac = [0; MAC_BYTES];
+        mac.copy_from_slice(&hasher.finalize().as_bytes()[..MAC_BYTES]);
+        mac
     }
 
-    /// The claim key of an account's idempotency key.
+    /// Returns the claim key of an account's idempotency key.
     pub(crate) fn claim_key(&self, account: &str, key: &str) -> u128 {
         digest(&self.claim, &[account.as_bytes(), key.as_bytes()])
     }
 
-    /// The digest of a call's method, path and body.
+    /// Returns the digest of a call's method, path and body.
     pub(crate) fn call_digest(&self, method: &str, path: &str, body: &[u8]) -> u128 {
         digest(&self.claim, &[method.as_bytes(), path.as_bytes(), body])
     }
 }
 
 /// Compares in constant time.
-fn same_code(left: &[u8; CODE_BYTES], right: &[u8; CODE_BYTES]) -> bool {
+fn equal_macs(left: &[u8; MAC_BYTES], right: &[u8; MAC_BYTES]) -> bool {
     left.iter().zip(right).fold(0, |difference, (a, b)| difference | (a ^ b)) == 0
 }
 
-fn digest(key: &[u8; 32], parts: &[&[u8]]) -> u128 {
+fn digest(key: &[u8; 32], fields: &[&[u8]]) -> u128 {
     let mut hasher = blake3::Hasher::new_keyed(key);
-    for part in parts {
-        hasher.update(&(part.len() as u64).to_be_bytes()).update(part);
+    for field in fields {
+        hasher.update(&(field.len() as u64).to_be_bytes()).update(field);
     }
     let mut bytes = [0; 16];
     bytes.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
--- a/crates/spanfoldd/src/shared.rs
+++ b/crates/spanfoldd/src/shared.rs
@@ -1,10 +1,10 @@
-//! What the daemon's tasks share.
+//! State shared by the daemon's tasks.
 
-use crate::burn::BurnBook;
+use crate::burn::BurnTable;
 use crate::control::ControlActor;
-use crate::desk::RequestDesk;
 use crate::endpoint_client::EndpointClient;
-use crate::metrics::MetricsBook;
+use crate::metrics::MetricsTable;
+use crate::pending_answers::PendingAnswers;
 use crate::secret::SecretKeys;
 use kameo::actor::ActorRef;
 use spanfold_declare::{Catalogue, Settings};
@@ -19,7 +19,7 @@
 use std::time::Instant;
 use tokio::sync::watch;
 
-/// State that tasks of one daemon share.
+/// State shared by the tasks of one daemon.
 #[derive(Debug)]
 pub(crate) struct SharedState {
     pub settings: Settings,
@@ -29,23 +29,23 @@
     next_request: AtomicU64,
     catalogue: RwLock<(u64, Arc<Catalogue>)>,
     pub vm_addresses: RwLock<HashMap<String, SocketAddr>>,
-    pub desk: RequestDesk,
-    pub burn: BurnBook,
-    pub metrics: MetricsBook,
+    pub pending: PendingAnswers,
+    pub burn: BurnTable,
+    pub metrics: MetricsTable,
     pub endpoints: EndpointClient,
     pub key_value: KeyValueClient,
     pub vm_list: ListClient,
     pub peers: PeerNode,
     pub traffic: tokio::runtime::Handle,
     control: OnceLock<ActorRef<ControlActor>>,
-    pub watching: watch::Sender<bool>,
+    pub should_watch_head: watch::Sender<bool>,
     pub stopping: AtomicBool,
     pub open_requests: AtomicU64,
     pub cursors: Mutex<HashMap<String, u64>>,
     pub report: RwLock<serde_json::Value>,
 }
 
-/// What a [`SharedState`] is made of.
+/// Arguments of [`SharedState::new`].
 pub(crate) struct SharedParts {
     pub settings: Settings,
     pub keys: SecretKeys,
@@ -64,18 +64,18 @@
             keys,
             incarnation,
             origin,
-            // Requests of an earlier process of this name must not be taken for this one's.
+            // Keeps request numbers apart from those of an earlier process of this VM name.
             next_request: AtomicU64::new((incarnation & 0xffff_ffff) << 24),
             catalogue: RwLock::default(),
             vm_addresses: RwLock::default(),
-            desk: RequestDesk::default(),
-            burn: BurnBook::default(),
-            metrics: MetricsBook::new(),
+            pending: PendingAnswers::default(),
+            burn: BurnTable::default(),
+            metrics: MetricsTable::new(),
             endpoints: EndpointClient::new(),
             peers,
             traffic: tokio::runtime::Handle::current(),
             control: OnceLock::new(),
-            watching: watch::channel(false).0,
+            should_watch_head: watch::channel(false).0,
             stopping: AtomicBool::new(false),
             open_requests: AtomicU64::new(0),
             cursors: Mutex::default(),
@@ -83,30 +83,30 @@
         }
     }
 
-    /// The time, in this process's count.
+    /// Returns the time since this process's origin.
     pub(crate) fn now(&self) -> Moment {
         Moment(self.origin.elapsed().as_micros() as u64)
     }
 
-    /// How long it is until `moment`.
-    pub(crate) fn until(&self, moment: Moment) -> std::time::Duration {
+    /// Returns the time left until `moment`.
+    pub(crate) fn time_until(&self, moment: Moment) -> std::time::Duration {
         std::time::Duration::from_micros(moment.micros_since(self.now()))
     }
 
-    pub(crate) fn request_number(&self) -> u64 {
+    pub(crate) fn next_request_number(&self) -> u64 {
         self.next_request.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// The configuration in force and its generation.
+    /// Returns the configuration in force and its generation.
     pub(crate) fn catalogue(&self) -> (u64, Arc<Catalogue>) {
-        let held = self.catalogue.read().unwrap_or_else(PoisonError::into_inner);
-        (held.0, Arc::clone(&held.1))
+        let current = self.catalogue.read().unwrap_or_else(PoisonError::into_inner);
+        (current.0, Arc::clone(&current.1))
     }
 
     pub(crate) fn set_catalogue(&self, generation: u64, catalogue: Arc<Catalogue>) {
-        let mut held = self.catalogue.write().unwrap_or_else(PoisonError::into_inner);
-        if generation > held.0 {
-            *held = (generation, catalogue);
+        let mut current = self.catalogue.write().unwrap_or_else(PoisonError::into_inner);
+        if generation > current.0 {
+            *current = (generation, catalogue);
         }
     }
 
@@ -114,14 +114,14 @@
         let _ = self.control.set(control);
     }
 
-    /// Gives an event to the control thread; false if it is overloaded or gone.
-    pub(crate) fn raise(&self, event: Event) -> bool {
+    /// Sends an event to the control thread; returns false if its mailbox is full or closed.
+    pub(crate) fn try_send_event(&self, event: Event) -> bool {
         let Some(control) = self.control.get() else { return false };
         control.tell(event).try_send().is_ok()
     }
 
-    /// Gives an event that must not be lost to the control thread.
-    pub(crate) async fn raise_surely(&self, event: Event) {
+    /// Sends an event that must not be lost to the control thread.
+    pub(crate) async fn send_event(&self, event: Event) {
         if let Some(control) = self.control.get() {
             let _ = control.tell(event).send().await;
         }
@@ -132,7 +132,7 @@
     }
 }
 
-/// Counts one request as in flight until it is dropped.
+/// Counts one request as in flight until the guard is dropped.
 #[derive(Debug)]
 pub(crate) struct FlightGuard(Arc<SharedState>);
 
