--- a/crates/spanfoldd/tests/gateway_command.rs
+++ b/crates/spanfoldd/tests/gateway_command.rs
@@ -1,11 +1,11 @@
-//! `spanfoldd gateway` from the command line.
+//! Tests of the command `spanfoldd gateway`.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::process::{Child, Command, Output, Stdio};
 
-fn gateway(arguments: &[&str], settings: Option<&str>) -> Output {
+fn run_gateway_command(arguments: &[&str], settings: Option<&str>) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_spanfoldd"));
     command.arg("gateway").args(arguments).env_remove("SPANFOLD_SETTINGS");
     if let Some(text) = settings {
@@ -21,13 +21,13 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-const GOOD: &str = "[vm]\nname = vm-1\ndata_centre = dc-a\n[listen]\ncallers = 127.0.0.1:0\n\
+const VALID_SETTINGS: &str = "[vm]\nname = vm-1\ndata_centre = dc-a\n[listen]\ncallers = 127.0.0.1:0\n\
     readiness = 127.0.0.1:0\nmetrics = 127.0.0.1:0\npeers = 127.0.0.1:0\n[store]\naddress = 127.0.0.1:1\n";
 
 #[test]
 fn all_findings_of_a_settings_file_are_reported_together() {
     let text = "[vm]\nname = vm-1\nage = 3\n[listen]\ncallers = here\n[bounds]\ngrace_s = soon\n[boat]\n";
-    let output = gateway(&[], Some(text));
+    let output = run_gateway_command(&[], Some(text));
     assert_eq!(output.status.code(), Some(2));
     let errors = error_text(&output);
     for finding in [
@@ -45,28 +45,28 @@
 
 #[test]
 fn a_good_file_passes_the_check() {
-    let output = gateway(&["--check"], Some(GOOD));
+    let output = run_gateway_command(&["--check"], Some(VALID_SETTINGS));
     assert_eq!((output.status.code(), error_text(&output).as_str()), (Some(0), ""));
 }
 
 #[test]
-fn without_a_file_it_says_so() {
-    assert_eq!(gateway(&[], None).status.code(), Some(2));
-    let missing = gateway(&["--settings", "/nowhere/gateway.ini"], None);
+fn a_missing_settings_file_is_reported() {
+    assert_eq!(run_gateway_command(&[], None).status.code(), Some(2));
+    let missing = run_gateway_command(&["--settings", "/nowhere/gateway.ini"], None);
     assert_eq!(missing.status.code(), Some(2));
     assert!(error_text(&missing).contains("/nowhere/gateway.ini"));
 }
 
 #[test]
 fn the_table_of_settings_is_printed() {
-    let output = gateway(&["--print-settings"], None);
+    let output = run_gateway_command(&["--print-settings"], None);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(text.contains("[bounds]") && text.contains("retry_ratio = 0.2"), "{text}");
 }
 
-/// Asks for a path on an open connection; the answer's status line.
-fn ask(stream: &mut TcpStream, path: &str) -> String {
-    // In one write: the parts of a request would wait for one another's acknowledgements.
+/// Requests a path on an open connection and returns the status line of the answer.
+fn request_status(stream: &mut TcpStream, path: &str) -> String {
+    // One write: parts of a request written separately would wait for each other's acknowledgements.
     let request = format!("GET {path} HTTP/1.1\r\nHost: a.example\r\n\r\n");
     stream.write_all(request.as_bytes()).unwrap();
     let mut reader = BufReader::new(stream);
@@ -84,18 +84,18 @@
     status.trim().to_owned()
 }
 
-/// Ports that are tried: a port found free may be in use a moment later.
-const PORT_TRIES: usize = 5;
+/// Attempts to start a gateway, since a port found free may be in use a moment later.
+const MAX_START_ATTEMPTS: usize = 5;
 
 /// Lines of a process's log.
 type LogLines = Box<dyn Iterator<Item = String>>;
 
-/// A gateway without a store that listens for callers; its process, that address, its settings, its log.
-fn running_gateway(name: &str) -> (Child, SocketAddr, PathBuf, LogLines) {
+/// Starts a gateway without a store; returns its process, caller address, settings file and log.
+fn start_gateway(name: &str) -> (Child, SocketAddr, PathBuf, LogLines) {
     let path = std::env::temp_dir().join(format!("spanfold-{name}-{}.ini", std::process::id()));
-    for _ in 0..PORT_TRIES {
+    for _ in 0..MAX_START_ATTEMPTS {
         let callers = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        let text = GOOD.replacen("callers = 127.0.0.1:0", &format!("callers = {callers}"), 1);
+        let text = VALID_SETTINGS.replacen("callers = 127.0.0.1:0", &format!("callers = {callers}"), 1);
         std::fs::write(&path, &text).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_spanfoldd"));
         let command = command.args(["gateway", "--settings"]).arg(&path);
@@ -106,35 +106,35 @@
         }
         child.wait().unwrap();
     }
-    panic!("no gateway started in {PORT_TRIES} tries");
+    panic!("no gateway started in {MAX_START_ATTEMPTS} attempts");
 }
 
 #[test]
-fn a_reader_that_does_not_read_holds_up_nothing_and_is_told_what_it_missed() {
-    let (mut child, callers, _path, mut log) = running_gateway("unread");
-    // Each request writes a line; a pipe and the lines that wait hold fewer.
+fn a_stalled_log_reader_blocks_nothing_and_gets_the_number_of_dropped_lines() {
+    let (mut child, callers, _path, mut log) = start_gateway("unread");
+    // Each request writes a line: more lines than the pipe and the line queue can hold.
     let mut stream = TcpStream::connect(callers).unwrap();
     for _ in 0..8_000 {
-        assert!(ask(&mut stream, "/read/").contains("503"));
+        assert!(request_status(&mut stream, "/read/").contains("503"));
     }
-    let gap = log.find(|line| line.contains("log.dropped")).unwrap();
-    let gap: serde_json::Value = serde_json::from_str(&gap).unwrap();
-    assert!(gap["lines"].as_str().unwrap().parse::<u64>().unwrap() > 0, "{gap}");
+    let dropped = log.find(|line| line.contains("log.dropped")).unwrap();
+    let dropped: serde_json::Value = serde_json::from_str(&dropped).unwrap();
+    assert!(dropped["lines"].as_str().unwrap().parse::<u64>().unwrap() > 0, "{dropped}");
     child.kill().unwrap();
     child.wait().unwrap();
 }
 
 #[test]
 fn a_hangup_checks_the_settings_and_cuts_no_connection() {
-    let (mut child, callers, path, mut log) = running_gateway("hangup");
+    let (mut child, callers, path, mut log) = start_gateway("hangup");
     let mut stream = TcpStream::connect(callers).unwrap();
-    assert!(ask(&mut stream, "/read/").contains("503"));
+    assert!(request_status(&mut stream, "/read/").contains("503"));
     let text = std::fs::read_to_string(&path).unwrap();
     std::fs::write(&path, format!("{text}[boat]\n")).unwrap();
     let pid = nix::unistd::Pid::from_raw(child.id() as i32);
     nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).unwrap();
     assert!(log.any(|line| line.contains("settings.reloaded")));
-    assert!(ask(&mut stream, "/read/").contains("503"));
+    assert!(request_status(&mut stream, "/read/").contains("503"));
     child.kill().unwrap();
     child.wait().unwrap();
 }
--- a/crates/spanfoldd/tests/promises/at_most_once.rs
+++ b/crates/spanfoldd/tests/promises/at_most_once.rs
@@ -1,6 +1,6 @@
-//! A call that may not be repeated runs at most once.
+//! Tests that a call that may not be repeated runs at most once.
 
-use crate::support::{binary, eventually, two_centres};
+use crate::support::{binary, eventually, two_data_centres};
 use spanfold_standin::{Answer, Caller, Deployment};
 use std::time::Duration;
 
@@ -11,26 +11,26 @@
     Caller::new("key-small").send(deployment.callers(vm), "POST", PATH, &headers, body.to_owned()).await.ok()
 }
 
-fn runs(deployment: &Deployment, body: &str) -> u32 {
+fn run_count(deployment: &Deployment, body: &str) -> u32 {
     deployment.services.values().map(|service| service.runs(body)).sum()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_retry_at_any_vm_gets_the_recorded_answer() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     let first = book(&deployment, "vm-a1", "k1", "slot 9").await.unwrap();
     assert_eq!(first.status, 200, "{}", first.text);
     for vm in ["vm-a1", "vm-a2", "vm-b1", "vm-b2"] {
-        let again = book(&deployment, vm, "k1", "slot 9").await.unwrap();
-        assert_eq!((again.status, &again.text), (200, &first.text), "at {vm}");
-        assert_eq!(again.headers.get("spanfold-replayed").map(String::as_str), Some("yes"));
+        let retry = book(&deployment, vm, "k1", "slot 9").await.unwrap();
+        assert_eq!((retry.status, &retry.text), (200, &first.text), "at {vm}");
+        assert_eq!(retry.headers.get("spanfold-replayed").map(String::as_str), Some("yes"));
     }
-    assert_eq!(runs(&deployment, "slot 9"), 1);
+    assert_eq!(run_count(&deployment, "slot 9"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn attempts_that_race_run_once() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+async fn concurrent_attempts_run_once() {
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     for round in 0..5 {
         let (key, body) = (format!("race {round}"), format!("slot {round}"));
         let attempts = ["vm-a1", "vm-a2", "vm-b1", "vm-b2"].map(|vm| book(&deployment, vm, &key, &body));
@@ -38,18 +38,18 @@
         let (a, b, c, d) = tokio::join!(a, b, c, d);
         let good = [a, b, c, d].into_iter().flatten().filter(|answer| answer.status == 200).count();
         assert!(good >= 1, "round {round}");
-        assert_eq!(runs(&deployment, &body), 1, "round {round}");
+        assert_eq!(run_count(&deployment, &body), 1, "round {round}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_same_key_with_another_body_is_refused() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     assert_eq!(book(&deployment, "vm-a1", "k", "slot 1").await.unwrap().status, 200);
     let other = book(&deployment, "vm-b1", "k", "slot 2").await.unwrap();
     assert_eq!((other.status, other.ran(), other.code().as_str()), (422, "no", "key_reused"));
-    assert_eq!(runs(&deployment, "slot 2"), 0);
-    // Another account's key of the same text is another key.
+    assert_eq!(run_count(&deployment, "slot 2"), 0);
+    // Keys belong to an account: the same text is a different key for another account.
     let headers = [("idempotency-key", "k")];
     let caller = Caller::new("key-large");
     let answer = caller.send(deployment.callers("vm-a1"), "POST", PATH, &headers, "slot 3").await.unwrap();
@@ -57,8 +57,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vm_killed_while_the_call_runs_leaves_it_unknown() {
-    let mut deployment = Deployment::start(two_centres(binary())).await.unwrap();
+async fn a_vm_killed_while_the_call_runs_leaves_the_outcome_unknown() {
+    let mut deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     for service in deployment.services.values() {
         service.work_for(1_500);
     }
@@ -69,90 +69,90 @@
             tokio::select! {
                 answer = &mut call => break answer,
                 () = tokio::time::sleep(Duration::from_millis(10)) => {
-                    if runs(&deployment, "slot 7") == 1 {
+                    if run_count(&deployment, "slot 7") == 1 {
                         break None;
                     }
                 }
             }
         }
     };
-    assert!(first.is_none(), "it must still run when its VM is killed");
+    assert!(first.is_none(), "the call must still run when its VM is killed");
     deployment.kill_vm("vm-a1");
     for vm in ["vm-a2", "vm-b1"] {
-        let again = book(&deployment, vm, "k", "slot 7").await.unwrap();
-        assert_eq!((again.status, again.ran()), (409, "unknown"), "at {vm}: {}", again.text);
+        let retry = book(&deployment, vm, "k", "slot 7").await.unwrap();
+        assert_eq!((retry.status, retry.ran()), (409, "unknown"), "at {vm}: {}", retry.text);
     }
-    assert_eq!(runs(&deployment, "slot 7"), 1);
+    assert_eq!(run_count(&deployment, "slot 7"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vm_killed_after_its_answer_leaves_the_answer() {
-    let mut deployment = Deployment::start(two_centres(binary())).await.unwrap();
+async fn a_vm_killed_after_its_answer_leaves_the_recorded_answer() {
+    let mut deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     let first = book(&deployment, "vm-a1", "k", "slot 8").await.unwrap();
     deployment.kill_vm("vm-a1");
-    let again = book(&deployment, "vm-b2", "k", "slot 8").await.unwrap();
-    assert_eq!((again.status, again.text), (200, first.text));
-    assert_eq!(runs(&deployment, "slot 8"), 1);
+    let retry = book(&deployment, "vm-b2", "k", "slot 8").await.unwrap();
+    assert_eq!((retry.status, retry.text), (200, first.text));
+    assert_eq!(run_count(&deployment, "slot 8"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_vm_killed_before_dispatch_runs_nothing_twice() {
-    let mut deployment = Deployment::start(two_centres(binary())).await.unwrap();
+    let mut deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     deployment.platform.faults().slow(300);
-    let to = deployment.callers("vm-a1");
+    let address = deployment.callers("vm-a1");
     let first = tokio::spawn(async move {
         let headers = [("idempotency-key", "k")];
-        Caller::new("key-small").send(to, "POST", PATH, &headers, "slot 6").await.ok()
+        Caller::new("key-small").send(address, "POST", PATH, &headers, "slot 6").await.ok()
     });
     let writes = deployment.platform.call_counts().0;
-    eventually("the claim is on its way", || async {
+    eventually("the claim is being written", || async {
         deployment.platform.call_counts().0 > writes || first.is_finished()
     })
     .await;
     deployment.kill_vm("vm-a1");
     deployment.platform.faults().slow(0);
-    let again = book(&deployment, "vm-b1", "k", "slot 6").await.unwrap();
-    assert!(matches!((again.status, again.ran()), (200, _) | (409, "unknown")), "{}", again.text);
-    assert!(runs(&deployment, "slot 6") <= 1);
+    let retry = book(&deployment, "vm-b1", "k", "slot 6").await.unwrap();
+    assert!(matches!((retry.status, retry.ran()), (200, _) | (409, "unknown")), "{}", retry.text);
+    assert!(run_count(&deployment, "slot 6") <= 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claimant_paused_past_its_deadline_does_not_run_it_twice() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     deployment.platform.faults().slow(200);
-    let to = deployment.callers("vm-a1");
+    let address = deployment.callers("vm-a1");
     let first = tokio::spawn(async move {
         let headers = [("idempotency-key", "k"), ("spanfold-deadline-ms", "1000")];
-        Caller::new("key-small").send(to, "POST", PATH, &headers, "slot 5").await.ok()
+        Caller::new("key-small").send(address, "POST", PATH, &headers, "slot 5").await.ok()
     });
     let writes = deployment.platform.call_counts().0;
-    eventually("the claim is on its way", || async {
+    eventually("the claim is being written", || async {
         deployment.platform.call_counts().0 > writes || first.is_finished()
     })
     .await;
     deployment.pause_vm("vm-a1", true);
     deployment.platform.faults().slow(0);
-    let meanwhile = book(&deployment, "vm-b1", "k", "slot 5").await.unwrap();
+    let concurrent = book(&deployment, "vm-b1", "k", "slot 5").await.unwrap();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     deployment.pause_vm("vm-a1", false);
     let first = first.await.unwrap();
     let good = |answer: &Answer| answer.status == 200;
-    assert!(runs(&deployment, "slot 5") <= 1);
+    assert!(run_count(&deployment, "slot 5") <= 1);
     assert!(
-        good(&meanwhile) || meanwhile.ran() == "unknown" || meanwhile.ran() == "no",
+        good(&concurrent) || concurrent.ran() == "unknown" || concurrent.ran() == "no",
         "{}",
-        meanwhile.text
+        concurrent.text
     );
     if let Some(first) = first.filter(|first| first.ran() == "no")
-        && !good(&meanwhile)
+        && !good(&concurrent)
     {
-        assert_eq!(runs(&deployment, "slot 5"), 0, "{}", first.text);
+        assert_eq!(run_count(&deployment, "slot 5"), 0, "{}", first.text);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_whose_reply_is_lost_still_runs_once() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     deployment.platform.faults().lose_replies(1);
     let first = book(&deployment, "vm-a1", "k", "slot 4").await.unwrap();
     assert!(first.status == 200 || first.ran() == "no", "{}", first.text);
@@ -160,33 +160,33 @@
         book(&deployment, "vm-b1", "k", "slot 4").await.is_some_and(|answer| answer.status == 200)
     })
     .await;
-    assert_eq!(runs(&deployment, "slot 4"), 1);
+    assert_eq!(run_count(&deployment, "slot 4"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_the_platform_out_nothing_runs_and_the_caller_is_told() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+async fn during_a_platform_outage_nothing_runs_and_the_caller_gets_an_error() {
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     deployment.platform.faults().cut(true);
     let answer = book(&deployment, "vm-a1", "k", "slot 3").await.unwrap();
     assert_eq!((answer.status, answer.ran()), (503, "no"), "{}", answer.text);
     assert!(answer.headers.contains_key("retry-after"));
-    assert_eq!(runs(&deployment, "slot 3"), 0);
+    assert_eq!(run_count(&deployment, "slot 3"), 0);
     deployment.platform.faults().cut(false);
-    eventually("it runs when the platform is back", || async {
+    eventually("the call runs once the platform is available again", || async {
         book(&deployment, "vm-a1", "k", "slot 3").await.is_some_and(|answer| answer.status == 200)
     })
     .await;
-    assert_eq!(runs(&deployment, "slot 3"), 1);
+    assert_eq!(run_count(&deployment, "slot 3"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_without_a_key_is_not_tried_again() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+async fn a_call_without_a_key_is_not_retried() {
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     for service in deployment.services.values() {
         service.faults().lose_replies(1);
     }
     let caller = Caller::new("key-small");
     let answer = caller.send(deployment.callers("vm-a1"), "POST", PATH, &[], "slot 2").await.unwrap();
     assert_eq!((answer.status, answer.ran()), (502, "unknown"), "{}", answer.text);
-    assert_eq!(runs(&deployment, "slot 2"), 1);
+    assert_eq!(run_count(&deployment, "slot 2"), 1);
 }
--- a/crates/spanfoldd/tests/promises/bad_input.rs
+++ b/crates/spanfoldd/tests/promises/bad_input.rs
@@ -1,4 +1,4 @@
-//! Malformed input gets a clear error and a limit; nothing is lost, nothing leaks.
+//! Tests that malformed or oversize input gets a clear error, and loses or leaks nothing.
 
 use crate::support::long_prompt;
 use spanfold_standin::{Caller, Deployment, DeploymentPlan};
@@ -52,10 +52,10 @@
         answer.text
     );
     assert!(!answer.text.contains("SECRET") && !answer.text.contains("key-"), "{}", answer.text);
-    // It goes on serving.
-    let good =
+    // The VM still serves valid requests.
+    let valid =
         Caller::new("key-small").complete(deployment.callers("vm-a1"), "visa-7b", "hello", 2, &[]).await;
-    assert_eq!(good.unwrap().status, 200);
+    assert_eq!(valid.unwrap().status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -63,8 +63,9 @@
     let deployment = Deployment::start(plan()).await.unwrap();
     let key = "k".repeat(257);
     let headers = [("idempotency-key", key.as_str())];
-    let to = deployment.callers("vm-a1");
-    let answer = Caller::new("key-small").send(to, "POST", "/services/desk/x", &headers, "").await.unwrap();
+    let address = deployment.callers("vm-a1");
+    let answer =
+        Caller::new("key-small").send(address, "POST", "/services/desk/x", &headers, "").await.unwrap();
     assert_eq!((answer.status, answer.code().as_str(), answer.ran()), (400, "invalid_header", "no"));
 }
 
@@ -82,14 +83,14 @@
     body = { "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer key-small\r\ncontent-length: 50\r\n\r\n{", 408 },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
-async fn a_trickling_caller_is_cut_off(start: &str, status: u16) {
+async fn a_caller_that_sends_too_slowly_is_disconnected(start: &str, status: u16) {
     let deployment = Deployment::start(plan()).await.unwrap();
     let mut socket = tokio::net::TcpStream::connect(deployment.callers("vm-a1")).await.unwrap();
     socket.write_all(start.as_bytes()).await.unwrap();
     let mut answer = Vec::new();
     let read = tokio::time::timeout(Duration::from_secs(20), socket.read_to_end(&mut answer)).await;
     let text = String::from_utf8_lossy(&answer).into_owned();
-    // A connection whose header never came may be closed without an answer.
+    // A connection whose header was never received may be closed without an answer.
     let closed = read.is_ok() && text.is_empty();
     assert!(closed || text.starts_with(&format!("HTTP/1.1 {status}")), "{text}");
 }
@@ -99,8 +100,8 @@
     let deployment = Deployment::start(plan()).await.unwrap();
     let caller = Caller::new("key-small");
     let upload = vec![b'x'; 3_000_000];
-    let to = deployment.callers("vm-a1");
-    let answer = caller.send(to, "POST", "/services/desk/jobs", &[], upload.clone()).await.unwrap();
+    let address = deployment.callers("vm-a1");
+    let answer = caller.send(address, "POST", "/services/desk/jobs", &[], upload.clone()).await.unwrap();
     assert_eq!(answer.status, 200, "{}", answer.text);
     let received: u64 = deployment.services.values().map(spanfold_standin::ServiceStandin::bytes).sum();
     assert_eq!(received, upload.len() as u64);
--- a/crates/spanfoldd/tests/promises/configuration.rs
+++ b/crates/spanfoldd/tests/promises/configuration.rs
@@ -1,6 +1,6 @@
-//! An accepted configuration comes into force everywhere and never reverts.
+//! Tests that an accepted configuration comes into force at every VM and is never reverted.
 
-use crate::support::{binary, eventually, two_centres};
+use crate::support::{binary, eventually, two_data_centres};
 use spanfold_keyvalue::{AcceptError, ConfigurationHead, KeyValueClient};
 use spanfold_standin::Deployment;
 use std::collections::BTreeSet;
@@ -9,13 +9,13 @@
     deployment.status(vm).await["generation"].as_u64().unwrap_or(0)
 }
 
-async fn in_force(deployment: &Deployment, vms: &[&str], wanted: u64) {
+async fn wait_in_force(deployment: &Deployment, vms: &[&str], target: u64) {
     for vm in vms {
-        eventually(vm, || async { generation(deployment, vm).await >= wanted }).await;
+        eventually(vm, || async { generation(deployment, vm).await >= target }).await;
     }
 }
 
-const ALL: [&str; 4] = ["vm-a1", "vm-a2", "vm-b1", "vm-b2"];
+const ALL_VMS: [&str; 4] = ["vm-a1", "vm-a2", "vm-b1", "vm-b2"];
 
 fn with_account(deployment: &Deployment, name: &str) -> String {
     format!("{}[client-account {name}]\nlabels = tier=new\n", deployment.declarations())
@@ -23,14 +23,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_comes_into_force_at_every_vm() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
-    let wanted = deployment.apply(&with_account(&deployment, "fresh")).await.unwrap();
-    in_force(&deployment, &ALL, wanted).await;
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
+    let target = deployment.apply(&with_account(&deployment, "fresh")).await.unwrap();
+    wait_in_force(&deployment, &ALL_VMS, target).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_racing_operators_one_wins_and_the_others_hear_of_it() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+async fn of_concurrent_operators_one_succeeds_and_the_others_learn_its_author() {
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     let texts: Vec<String> = (0..6).map(|n| with_account(&deployment, &format!("racer-{n}"))).collect();
     let client = KeyValueClient::new(deployment.platform.key_value());
     let (head, _) = ConfigurationHead::read(&client).await.unwrap();
@@ -53,25 +53,28 @@
         });
     }
     let results = tasks.join_all().await;
-    let won: Vec<_> = results.iter().flatten().collect();
-    assert_eq!(won.len(), 1);
+    let accepted_heads: Vec<_> = results.iter().flatten().collect();
+    assert_eq!(accepted_heads.len(), 1);
     for result in &results {
         if let Err(AcceptError::Lost { head, .. }) = result {
-            assert_eq!(head.author, won[0].author, "the loser is told who won");
+            assert_eq!(
+                head.author, accepted_heads[0].author,
+                "the error names the author of the accepted configuration"
+            );
         }
     }
-    in_force(&deployment, &ALL, won[0].generation).await;
+    wait_in_force(&deployment, &ALL_VMS, accepted_heads[0].generation).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_write_whose_reply_is_lost_is_known_as_ones_own() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+async fn a_write_whose_reply_is_lost_is_recognized_as_own() {
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     let text = with_account(&deployment, "fresh");
     let before = generation(&deployment, "vm-a1").await;
     for lost in 1..6 {
         deployment.platform.faults().lose_replies(lost);
         if let Ok(accepted) = deployment.apply(&text).await {
-            in_force(&deployment, &ALL, accepted).await;
+            wait_in_force(&deployment, &ALL_VMS, accepted).await;
         }
         deployment.platform.faults().lose_replies(0);
     }
@@ -80,34 +83,34 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_platform_rolled_back_does_not_revert_anything() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     let old = deployment.platform.snapshot();
-    let wanted = deployment.apply(&with_account(&deployment, "fresh")).await.unwrap();
-    in_force(&deployment, &ALL, wanted).await;
+    let target = deployment.apply(&with_account(&deployment, "fresh")).await.unwrap();
+    wait_in_force(&deployment, &ALL_VMS, target).await;
     deployment.platform.roll_back(old);
     let client = KeyValueClient::new(deployment.platform.key_value());
     eventually("the head is written back", || async {
-        ConfigurationHead::read(&client).await.is_ok_and(|(head, _)| head.generation == wanted)
+        ConfigurationHead::read(&client).await.is_ok_and(|(head, _)| head.generation == target)
     })
     .await;
-    for vm in ALL {
-        assert_eq!(generation(&deployment, vm).await, wanted, "{vm}");
+    for vm in ALL_VMS {
+        assert_eq!(generation(&deployment, vm).await, target, "{vm}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vm_that_starts_while_the_platform_is_out_learns_from_its_peers() {
-    let mut deployment = Deployment::start(two_centres(binary())).await.unwrap();
-    let wanted = deployment.apply(&with_account(&deployment, "fresh")).await.unwrap();
-    in_force(&deployment, &ALL, wanted).await;
+async fn a_vm_started_during_a_platform_outage_gets_the_configuration_from_peers() {
+    let mut deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
+    let target = deployment.apply(&with_account(&deployment, "fresh")).await.unwrap();
+    wait_in_force(&deployment, &ALL_VMS, target).await;
     deployment.platform.faults().cut(true);
     deployment.start_vm("vm-a3", "dc-a").await.unwrap();
-    in_force(&deployment, &["vm-a3"], wanted).await;
+    wait_in_force(&deployment, &["vm-a3"], target).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn twenty_four_thousand_accounts_fit() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     let mut text = deployment.declarations();
     for number in 0..24_000 {
         text.push_str(&format!(
@@ -115,11 +118,12 @@
             spanfold_declare::key_digest(&number.to_string())
         ));
     }
-    let wanted = deployment.apply(&text).await.unwrap();
-    in_force(&deployment, &ALL, wanted).await;
+    let target = deployment.apply(&text).await.unwrap();
+    wait_in_force(&deployment, &ALL_VMS, target).await;
     let largest = deployment.platform.snapshot().values().map(|(value, _)| value.len()).max().unwrap();
     assert!(largest < 1_000_000, "{largest}");
-    // One more account changes one chunk and the head, whatever else is written meanwhile.
+    // One more account adds one chunk, rewrites none and changes the head. Only these keys are compared,
+    // since other records are written meanwhile.
     let chunks = |snapshot: &std::collections::BTreeMap<String, (String, u64)>| {
         snapshot.keys().filter(|key| key.starts_with("spanfold/chunk/")).cloned().collect::<BTreeSet<_>>()
     };
--- a/crates/spanfoldd/tests/promises/leaving.rs
+++ b/crates/spanfoldd/tests/promises/leaving.rs
@@ -1,12 +1,12 @@
-//! Leaving endpoints get no new work; planned stops cut off nothing.
+//! Tests that departing endpoints get no new work, and that planned stops interrupt no request.
 
-use crate::support::{binary, eventually, salt, two_centres};
+use crate::support::{binary, eventually, salt, two_data_centres};
 use spanfold_keyvalue::PlatformVm;
 use spanfold_standin::{Caller, Deployment, EngineRates, expected_answer};
 use std::time::Duration;
 
 async fn takes_work(deployment: &Deployment, endpoint: &str) -> bool {
-    // The home of the endpoint's cell is the VM that gives it work.
+    // The home of the endpoint's cell is the VM that places requests at it.
     for vm in ["vm-a1", "vm-a2"] {
         let status = deployment.status(vm).await;
         let empty = Vec::new();
@@ -22,29 +22,29 @@
     true
 }
 
-/// No new work goes to engine-a1 once it is known to leave, though calls go on.
-async fn gets_no_more_work(deployment: &Deployment) {
-    eventually("the sign is seen", || async { !takes_work(deployment, "engine-a1").await }).await;
+/// Asserts that engine-a1 gets no new work once its departure is recorded, while other engines serve.
+async fn assert_no_new_work(deployment: &Deployment) {
+    eventually("the departure is recorded", || async { !takes_work(deployment, "engine-a1").await }).await;
     let before = deployment.engines["engine-a1"].started().len();
     for number in 0..12 {
-        let prompt = format!("after the sign {number}");
-        let to = deployment.callers(if number % 2 == 0 { "vm-a1" } else { "vm-a2" });
-        let answer = Caller::new("key-small").complete(to, "visa-7b", &prompt, 2, &[]).await.unwrap();
+        let prompt = format!("after the departure {number}");
+        let address = deployment.callers(if number % 2 == 0 { "vm-a1" } else { "vm-a2" });
+        let answer = Caller::new("key-small").complete(address, "visa-7b", &prompt, 2, &[]).await.unwrap();
         assert_eq!(answer.status, 200, "{}", answer.text);
     }
     assert_eq!(deployment.engines["engine-a1"].started().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn its_own_readiness_alone_is_enough() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+async fn its_own_readiness_alone_stops_new_work() {
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     deployment.engines["engine-a1"].faults().announce_departure(true);
-    gets_no_more_work(&deployment).await;
+    assert_no_new_work(&deployment).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_vm_list_alone_is_enough() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+async fn the_vm_list_alone_stops_new_work() {
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     deployment.platform.change_vms(|vms| {
         vms.push(PlatformVm {
             name: "engine-a1".to_owned(),
@@ -54,38 +54,38 @@
             state: "leaving".to_owned(),
         });
     });
-    gets_no_more_work(&deployment).await;
+    assert_no_new_work(&deployment).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn refused_connections_alone_are_enough() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+async fn refused_connections_alone_stop_new_work() {
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     deployment.engines["engine-a1"].kill();
-    gets_no_more_work(&deployment).await;
+    assert_no_new_work(&deployment).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_operators_word_alone_is_enough() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+async fn the_draining_setting_alone_stops_new_work() {
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     let text = deployment.declarations();
-    let place = text.find("[endpoint engine-a1]\n").unwrap() + "[endpoint engine-a1]\n".len();
-    let text = format!("{}draining = yes\n{}", &text[..place], &text[place..]);
+    let position = text.find("[endpoint engine-a1]\n").unwrap() + "[endpoint engine-a1]\n".len();
+    let text = format!("{}draining = yes\n{}", &text[..position], &text[position..]);
     deployment.apply(&text).await.unwrap();
-    gets_no_more_work(&deployment).await;
+    assert_no_new_work(&deployment).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_returning_endpoint_gets_work_again() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     deployment.engines["engine-a1"].faults().announce_departure(true);
-    gets_no_more_work(&deployment).await;
+    assert_no_new_work(&deployment).await;
     deployment.engines["engine-a1"].faults().announce_departure(false);
-    eventually("it is back", || async { takes_work(&deployment, "engine-a1").await }).await;
+    eventually("engine-a1 takes work", || async { takes_work(&deployment, "engine-a1").await }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rolling_replacement_of_all_vms_cuts_off_no_request() {
-    let mut plan = two_centres(binary());
+async fn a_rolling_replacement_of_all_vms_interrupts_no_request() {
+    let mut plan = two_data_centres(binary());
     for engine in &mut plan.engines {
         engine.rates = EngineRates { decode_micros: 10_000, ..EngineRates::default() };
     }
@@ -93,15 +93,15 @@
     let old = ["vm-a1", "vm-a2", "vm-b1", "vm-b2"];
     for (number, name) in old.iter().enumerate() {
         let centre = if name.contains("-a") { "dc-a" } else { "dc-b" };
-        let fresh = format!("vm-n{number}");
-        deployment.start_vm(&fresh, centre).await.unwrap();
+        let replacement = format!("vm-n{number}");
+        deployment.start_vm(&replacement, centre).await.unwrap();
         deployment.wait_ready().await.unwrap();
-        let to = deployment.callers(name);
+        let address = deployment.callers(name);
         let mut calls = tokio::task::JoinSet::new();
         for call in 0..10 {
             calls.spawn(async move {
                 let prompt = format!("call {call} during stop {number}");
-                let answer = Caller::new("key-small").complete(to, "visa-7b", &prompt, 100, &[]).await;
+                let answer = Caller::new("key-small").complete(address, "visa-7b", &prompt, 100, &[]).await;
                 (prompt, answer)
             });
         }
--- a/crates/spanfoldd/tests/promises/main.rs
+++ b/crates/spanfoldd/tests/promises/main.rs
@@ -1,4 +1,4 @@
-//! Process tests: real daemons against the stand-ins, one module a promise.
+//! Process tests of real daemons against the stand-ins, with one module for each guarantee.
 
 mod at_most_once;
 mod bad_input;
--- a/crates/spanfoldd/tests/promises/not_run.rs
+++ b/crates/spanfoldd/tests/promises/not_run.rs
@@ -1,6 +1,6 @@
-//! What is said not to have run did not run; and it says when to come back.
+//! Tests that a request reported as not run did not run, and that its error states when to retry.
 
-use crate::support::{binary, two_centres};
+use crate::support::{binary, two_data_centres};
 use spanfold_standin::{Caller, Deployment, DeploymentPlan, EngineRates};
 use std::collections::BTreeSet;
 
@@ -9,15 +9,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_endpoint_means_not_run_with_a_time_to_come_back() {
+async fn no_endpoint_means_not_run_with_a_retry_delay() {
     let deployment = Deployment::start(DeploymentPlan::default()).await.unwrap();
     for engine in deployment.engines.values() {
         engine.kill();
     }
     let caller = Caller::new("key-small");
-    let to = deployment.callers("vm-a1");
+    let address = deployment.callers("vm-a1");
     for _ in 0..4 {
-        let answer = caller.complete(to, "visa-7b", "hello", 4, &[]).await.unwrap();
+        let answer = caller.complete(address, "visa-7b", "hello", 4, &[]).await.unwrap();
         assert_eq!((answer.status, answer.ran()), (503, "no"), "{}", answer.text);
         assert!(answer.headers.contains_key("retry-after"));
         let body: serde_json::Value = serde_json::from_str(&answer.text).unwrap();
@@ -28,9 +28,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_endpoint_that_refuses_is_passed_over() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
-    // It refuses while it is still believed to be well.
+async fn an_endpoint_that_refuses_is_skipped() {
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
+    // The engine refuses while the VM still records it as taking work.
     deployment.engines["engine-a1"].faults().announce_departure(true);
     let caller = Caller::new("key-small");
     for number in 0..6 {
@@ -43,7 +43,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_endpoint_that_fails_before_its_first_token_is_replaced() {
-    let deployment = Deployment::start(two_centres(binary())).await.unwrap();
+    let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     for name in ["engine-a1", "engine-a2"] {
         deployment.engines[name].faults().lose_replies(1);
     }
@@ -53,17 +53,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_crowd_that_cannot_be_served_is_refused_at_once_and_spread() {
+async fn requests_over_capacity_are_refused_at_once_with_spread_retry_delays() {
     let mut plan = DeploymentPlan::default();
     for engine in &mut plan.engines {
         engine.rates = EngineRates { prefill_micros: 2_000, ..EngineRates::default() };
     }
     let deployment = Deployment::start(plan).await.unwrap();
-    let to = deployment.callers("vm-a1");
-    // What engines can do is learnt from their answers.
+    let address = deployment.callers("vm-a1");
+    // The rates of engines are estimated from their answers.
     for engine in ["first", "second"] {
         let prompt = crate::support::long_prompt(1, engine);
-        Caller::new("key-small").complete(to, "visa-7b", &prompt, 1, &[]).await.unwrap();
+        Caller::new("key-small").complete(address, "visa-7b", &prompt, 1, &[]).await.unwrap();
     }
     let before = started(&deployment);
     let mut calls = tokio::task::JoinSet::new();
@@ -71,25 +71,30 @@
         calls.spawn(async move {
             let prompt = crate::support::long_prompt(2, &format!("subject {number}"));
             let headers = [("spanfold-deadline-ms", "6000")];
-            Caller::new("key-small").complete(to, "visa-7b", &prompt, 1, &headers).await.unwrap()
+            Caller::new("key-small").complete(address, "visa-7b", &prompt, 1, &headers).await.unwrap()
         });
     }
     let answers = calls.join_all().await;
     let refused: Vec<_> = answers.iter().filter(|answer| answer.status != 200).collect();
     assert!(!refused.is_empty() && refused.len() < 40, "{} refused", refused.len());
-    let mut waits = BTreeSet::new();
+    let mut retry_delays = BTreeSet::new();
     for answer in &refused {
         assert_eq!((answer.ran(), answer.code().as_str()), ("no", "deadline"), "{}", answer.text);
         let body: serde_json::Value = serde_json::from_str(&answer.text).unwrap();
-        waits.insert(body["error"]["retry_after_ms"].as_u64().unwrap());
+        retry_delays.insert(body["error"]["retry_after_ms"].as_u64().unwrap());
     }
-    assert!(waits.len() * 2 > refused.len(), "spread over {} waits for {}", waits.len(), refused.len());
+    assert!(
+        retry_delays.len() * 2 > refused.len(),
+        "{} distinct retry delays for {} refusals",
+        retry_delays.len(),
+        refused.len()
+    );
     let served = answers.iter().filter(|answer| answer.status == 200).count();
-    assert_eq!(started(&deployment) - before, served, "what was refused never reached an engine");
+    assert_eq!(started(&deployment) - before, served, "refused requests never reached an engine");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn limits_of_an_account_refuse_before_anything_runs() {
+async fn limits_of_an_account_refuse_before_a_request_runs() {
     let mut plan = DeploymentPlan::default();
     let digest = spanfold_declare::key_digest("key-tight");
     plan.declarations = format!(
@@ -100,14 +105,14 @@
     );
     plan.accounts = vec![("small".to_owned(), 50.0)];
     let deployment = Deployment::start(plan).await.unwrap();
-    let to = deployment.callers("vm-a1");
+    let address = deployment.callers("vm-a1");
     let mut codes = Vec::new();
     for _ in 0..4 {
-        let answer = Caller::new("key-tight").complete(to, "visa-7b", "hello", 1, &[]).await.unwrap();
+        let answer = Caller::new("key-tight").complete(address, "visa-7b", "hello", 1, &[]).await.unwrap();
         codes.push((answer.status, answer.code()));
     }
     assert_eq!(codes[0].0, 200);
     assert!(codes.contains(&(429, "rate_limit".to_owned())), "{codes:?}");
-    let bare = Caller::new("key-bare").complete(to, "visa-7b", "hello", 1, &[]).await.unwrap();
+    let bare = Caller::new("key-bare").complete(address, "visa-7b", "hello", 1, &[]).await.unwrap();
     assert_eq!((bare.status, bare.code().as_str(), bare.ran()), (403, "no_share", "no"));
 }
--- a/crates/spanfoldd/tests/promises/support.rs
+++ b/crates/spanfoldd/tests/promises/support.rs
@@ -1,23 +1,23 @@
-//! What the tests of whole processes share.
+//! Helpers shared by the process tests.
 use spanfold_standin::{Deployment, DeploymentPlan, EnginePlan, EngineRates, PIECE_BYTES};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The daemon's binary.
+/// Returns the path of the daemon's binary.
 pub(crate) fn binary() -> PathBuf {
     PathBuf::from(env!("CARGO_BIN_EXE_spanfoldd"))
 }
 
-/// The cache salt of an account of a test deployment.
+/// Returns the cache salt of an account of a test deployment.
 pub(crate) fn salt(account: &str) -> String {
     spanfoldd::cache_salt(Deployment::SECRET, account)
 }
 
-/// A prompt of a number of whole pieces and a little more, unlike that of another subject.
-pub(crate) fn long_prompt(pieces: usize, subject: &str) -> String {
+/// Returns a prompt of `blocks` whole blocks and a few bytes more, different for each subject.
+pub(crate) fn long_prompt(blocks: usize, subject: &str) -> String {
     let mut text = String::new();
     for line in 0.. {
-        if text.len() >= pieces * PIECE_BYTES + 40 {
+        if text.len() >= blocks * PIECE_BYTES + 40 {
             break;
         }
         text.push_str(&format!("{subject}, rule {line}: an applicant brings form {}.\n", line * 7 % 97));
@@ -25,8 +25,8 @@
     text
 }
 
-/// Two data centres with two VMs and two engines each.
-pub(crate) fn two_centres(binary: PathBuf) -> DeploymentPlan {
+/// Returns a plan of two data centres with two VMs and two engines each.
+pub(crate) fn two_data_centres(binary: PathBuf) -> DeploymentPlan {
     let vms = [("vm-a1", "dc-a"), ("vm-a2", "dc-a"), ("vm-b1", "dc-b"), ("vm-b2", "dc-b")];
     let engines =
         [("engine-a1", "dc-a"), ("engine-a2", "dc-a"), ("engine-b1", "dc-b"), ("engine-b2", "dc-b")];
@@ -46,13 +46,13 @@
     }
 }
 
-/// Waits until `holds`, for as long as a slow machine may need.
-pub(crate) async fn eventually<F: Future<Output = bool>>(what: &str, holds: impl Fn() -> F) {
+/// Waits until `condition` is true, for up to 30 s, since the machine may be slow.
+pub(crate) async fn eventually<F: Future<Output = bool>>(description: &str, condition: impl Fn() -> F) {
     for _ in 0..600 {
-        if holds().await {
+        if condition().await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("not within 30 s: {what}");
+    panic!("not within 30 s: {description}");
 }
--- a/crates/spanfoldd/tests/promises/whole_answer.rs
+++ b/crates/spanfoldd/tests/promises/whole_answer.rs
@@ -1,6 +1,6 @@
-//! Every caller receives the whole answer to its own request, or is told that it is incomplete.
+//! Tests that every caller receives its whole answer, or an error that it is incomplete.
 
-use crate::support::{binary, salt, two_centres};
+use crate::support::{binary, salt, two_data_centres};
 use spanfold_standin::{Caller, CallerError, Deployment, DeploymentPlan, EngineRates, expected_answer};
 use std::time::Duration;
 
@@ -12,20 +12,20 @@
 }
 
 fn slow_plan() -> DeploymentPlan {
-    let mut plan = two_centres(binary());
+    let mut plan = two_data_centres(binary());
     for engine in &mut plan.engines {
         engine.rates = EngineRates { decode_micros: 20_000, ..EngineRates::default() };
     }
     plan
 }
 
-fn owner(deployment: &Deployment) -> String {
+fn running_engine(deployment: &Deployment) -> String {
     let busy = deployment.engines.iter().find(|(_, engine)| !engine.started().is_empty());
-    busy.map(|(name, _)| name.clone()).expect("one engine works on it")
+    busy.map(|(name, _)| name.clone()).expect("one engine runs the prompt")
 }
 
-/// The home of the assistants' cell in dc-a, and the other VM there.
-async fn home_and_other(deployment: &Deployment) -> (&'static str, &'static str) {
+/// Returns the home of the assistants' cell in dc-a, and the other VM of that data centre.
+async fn home_and_other_vm(deployment: &Deployment) -> (&'static str, &'static str) {
     let status = deployment.status("vm-a2").await;
     let cells = status["cells"].as_array().unwrap();
     let is_home = cells.iter().any(|row| row["cell"] == "assistants/dc-a/0");
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_stream_is_resumed_unseen() {
+async fn a_broken_stream_is_resumed_transparently() {
     let deployment = Deployment::start(slow_plan()).await.unwrap();
     for engine in deployment.engines.values() {
         engine.faults().break_streams(2);
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn repeated_and_skipped_events_and_a_silent_stream_are_mended_unseen() {
+async fn repeated_and_skipped_events_and_a_stalled_stream_are_repaired_transparently() {
     let mut plan = slow_plan();
     plan.settings.insert("limits".to_owned(), "stall_ms = 400\n".to_owned());
     let deployment = Deployment::start(plan).await.unwrap();
@@ -70,28 +70,26 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_dies_mid_answer_is_replaced_unseen() {
+async fn an_engine_that_crashes_mid_answer_is_replaced_transparently() {
     let deployment = Deployment::start(slow_plan()).await.unwrap();
-    let to = deployment.callers("vm-a1");
-    let call =
-        tokio::spawn(
-            async move { Caller::new("key-small").complete(to, "visa-7b", "hello", TOKENS, &[]).await },
-        );
+    let address = deployment.callers("vm-a1");
+    let call = tokio::spawn(async move {
+        Caller::new("key-small").complete(address, "visa-7b", "hello", TOKENS, &[]).await
+    });
     tokio::time::sleep(Duration::from_millis(300)).await;
-    deployment.engines[&owner(&deployment)].kill();
+    deployment.engines[&running_engine(&deployment)].kill();
     let answer = call.await.unwrap().unwrap();
     assert_eq!(answer.text, expected_answer(&salt("small"), "1", "hello", TOKENS));
     assert_eq!(answer.events, TOKENS, "each event once");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_every_engine_dead_the_answer_is_said_to_be_incomplete() {
+async fn with_every_engine_crashed_the_answer_is_reported_incomplete() {
     let deployment = Deployment::start(slow_plan()).await.unwrap();
-    let to = deployment.callers("vm-a1");
-    let call =
-        tokio::spawn(
-            async move { Caller::new("key-small").complete(to, "visa-7b", "hello", TOKENS, &[]).await },
-        );
+    let address = deployment.callers("vm-a1");
+    let call = tokio::spawn(async move {
+        Caller::new("key-small").complete(address, "visa-7b", "hello", TOKENS, &[]).await
+    });
     tokio::time::sleep(Duration::from_millis(300)).await;
     for engine in deployment.engines.values() {
         engine.kill();
@@ -116,8 +114,8 @@
     let first = caller.stream(deployment.callers("vm-a1"), &[], body("hello"), Some(7)).await.unwrap();
     for vm in ["vm-a2", "vm-b1"] {
         let headers = [("last-event-id", first.last_id.as_str())];
-        let rest = caller.stream(deployment.callers(vm), &headers, body("hello"), None).await.unwrap();
-        assert_eq!(format!("{}{}", first.text, rest.text), expected, "at {vm}");
+        let remainder = caller.stream(deployment.callers(vm), &headers, body("hello"), None).await.unwrap();
+        assert_eq!(format!("{}{}", first.text, remainder.text), expected, "at {vm}");
     }
 }
 
@@ -128,15 +126,18 @@
     let first = caller.stream(deployment.callers("vm-a1"), &[], body("hello"), Some(7)).await.unwrap();
     deployment.kill_vm("vm-a1");
     let headers = [("last-event-id", first.last_id.as_str())];
-    let rest = caller.stream(deployment.callers("vm-a2"), &headers, body("hello"), None).await.unwrap();
-    assert_eq!(format!("{}{}", first.text, rest.text), expected_answer(&salt("small"), "1", "hello", TOKENS));
+    let remainder = caller.stream(deployment.callers("vm-a2"), &headers, body("hello"), None).await.unwrap();
+    assert_eq!(
+        format!("{}{}", first.text, remainder.text),
+        expected_answer(&salt("small"), "1", "hello", TOKENS)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_token_of_another_account_or_forged_opens_nothing() {
+async fn a_token_that_is_forged_or_of_another_account_is_refused() {
     let deployment = Deployment::start(slow_plan()).await.unwrap();
-    let to = deployment.callers("vm-a1");
-    let first = Caller::new("key-small").stream(to, &[], body("hello"), Some(3)).await.unwrap();
+    let address = deployment.callers("vm-a1");
+    let first = Caller::new("key-small").stream(address, &[], body("hello"), Some(3)).await.unwrap();
     let (token, _) = first.last_id.rsplit_once('.').unwrap();
     let flip = |text: &str| {
         let last = if text.ends_with('A') { 'B' } else { 'A' };
@@ -147,23 +148,24 @@
         forged.iter().map(|id| ("key-small", id.as_str())).chain([("key-large", first.last_id.as_str())])
     {
         let answer =
-            Caller::new(key).stream(to, &[("last-event-id", id)], body("hello"), None).await.unwrap();
+            Caller::new(key).stream(address, &[("last-event-id", id)], body("hello"), None).await.unwrap();
         assert_eq!((answer.status, answer.ran()), (403, "no"), "{id}: {}", answer.text);
         assert!(!answer.text.contains("small"), "{}", answer.text);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_vm_that_dies_as_a_home_costs_no_request() {
+async fn a_home_vm_that_crashes_costs_no_request() {
     let mut deployment = Deployment::start(slow_plan()).await.unwrap();
-    let (home, entry) = home_and_other(&deployment).await;
-    let to = deployment.callers(entry);
+    let (home, entry) = home_and_other_vm(&deployment).await;
+    let address = deployment.callers(entry);
     let mut calls = tokio::task::JoinSet::new();
     for number in 0..30_u64 {
         calls.spawn(async move {
             tokio::time::sleep(Duration::from_millis(number * 100)).await;
             let prompt = format!("question {number}");
-            let answer = Caller::new("key-small").complete(to, "visa-7b", &prompt, 4, &[]).await.unwrap();
+            let answer =
+                Caller::new("key-small").complete(address, "visa-7b", &prompt, 4, &[]).await.unwrap();
             (
                 answer.status == 200 && answer.text == expected_answer(&salt("small"), "1", &prompt, 4),
                 answer.text,
@@ -180,7 +182,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_home_is_bypassed_before_the_deadline() {
     let deployment = Deployment::start(slow_plan()).await.unwrap();
-    let (home, entry) = home_and_other(&deployment).await;
+    let (home, entry) = home_and_other_vm(&deployment).await;
     deployment.pause_vm(home, true);
     let caller = Caller::new("key-small");
     for number in 0..3 {
@@ -206,7 +208,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_data_centre_cut_off_from_its_region_serves_by_itself() {
+async fn a_data_centre_partitioned_from_its_region_serves_alone() {
     let mut plan = slow_plan();
     plan.declarations = "[data-centre dc-a]\nregion = north\n[data-centre dc-b]\nregion = north\n".to_owned();
     let mut deployment = Deployment::start(plan).await.unwrap();
@@ -217,7 +219,7 @@
             engine.kill();
         }
     }
-    // The VM list lags: it still has the dead VMs, and prompts of theirs come in here.
+    // The VM list is out of date: it still contains the killed VMs, and prompts of their cells arrive here.
     for number in 0..8 {
         let prompt = crate::support::long_prompt(2, &format!("subject {number}"));
         let headers = [("spanfold-deadline-ms", "1400")];
