--- a/crates/spanfold/src/arguments.rs
+++ b/crates/spanfold/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Arguments of the command line, from which bpaf also makes the help text.
 
 use bpaf::Bpaf;
 use std::net::SocketAddr;
@@ -173,7 +173,7 @@
     },
 }
 
-/// `burn IP:PORT...`
+/// Parses the subcommand `burn IP:PORT...`.
 fn burn_vms() -> impl bpaf::Parser<Vec<SocketAddr>> {
     use bpaf::Parser;
     let vms = bpaf::positional::<SocketAddr>("IP:PORT").help("Operators' addresses of VMs");
--- a/crates/spanfold/src/burn_report.rs
+++ b/crates/spanfold/src/burn_report.rs
@@ -1,17 +1,17 @@
 //! `spanfold report burn`: how fast each account's error budget is spent.
 //!
-//! The burn rate is the part of bad requests over the part that the objective allows: 1 spends
-//! exactly the budget, 14 spends a month's in two days. The budget left is that of the longest
-//! window.
+//! The burn rate is the fraction of bad requests divided by the fraction that the objective allows.
+//! At a rate of 1 exactly the budget is spent; at a rate of 14 a month's budget lasts two days.
+//! The budget left is that of the longest window.
 
-use crate::client::ask_vms;
-use crate::outcome::{NOT_REACHED, Outcome};
+use crate::client::query_vms;
+use crate::outcome::{CommandOutcome, EXIT_UNREACHABLE};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-/// Counts of one window, summed over VMs.
+/// Request counts of one window, summed over VMs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct WindowSum {
     minutes: u64,
@@ -19,7 +19,7 @@
     total: u64,
 }
 
-/// One account and objective.
+/// Burn of one client account and objective, summed over VMs.
 #[derive(Clone, Debug, Default)]
 struct BurnSum {
     target: f64,
@@ -37,48 +37,48 @@
 }
 
 impl BurnSum {
-    /// The part of the longest window's budget that is left; negative if it is overspent.
+    /// Returns the fraction of the longest window's budget that is left; negative if overspent.
     fn budget_left(&self) -> f64 {
         self.windows.last().map_or(1.0, |window| 1.0 - window.rate(self.target))
     }
 }
 
-/// Sums the VMs' counts and prints them.
-pub(crate) async fn burn(as_json: bool, vms: &[SocketAddr]) -> Outcome {
-    let answers = ask_vms(vms, "/burn").await;
+/// Queries the VMs and reports their summed counts.
+pub(crate) async fn burn(as_json: bool, vms: &[SocketAddr]) -> CommandOutcome {
+    let answers = query_vms(vms, "/burn").await;
     let mut sums: BTreeMap<(String, String), BurnSum> = BTreeMap::new();
-    let mut missing = Vec::new();
+    let mut unreachable_vms = Vec::new();
     for (vm, answer) in &answers {
         match answer {
             Ok(rows) => {
-                rows.as_array().map_or(&[][..], Vec::as_slice).iter().for_each(|row| add(&mut sums, row));
+                rows.as_array().map_or(&[][..], Vec::as_slice).iter().for_each(|row| add_row(&mut sums, row));
             }
-            Err(error) => missing.push(format!("{vm}: {error}")),
+            Err(error) => unreachable_vms.push(format!("{vm}: {error}")),
         }
     }
-    let code = if missing.is_empty() { 0 } else { NOT_REACHED };
-    let text = if as_json { to_json(&sums, &missing) } else { to_text(&sums, &missing) };
-    Outcome { text, code }
+    let code = if unreachable_vms.is_empty() { 0 } else { EXIT_UNREACHABLE };
+    let text = if as_json { to_json(&sums, &unreachable_vms) } else { to_text(&sums, &unreachable_vms) };
+    CommandOutcome { text, code }
 }
 
-fn add(sums: &mut BTreeMap<(String, String), BurnSum>, row: &Value) {
-    let word = |key: &str| row[key].as_str().unwrap_or_default().to_owned();
-    let sum = sums.entry((word("account"), word("objective"))).or_default();
+fn add_row(sums: &mut BTreeMap<(String, String), BurnSum>, row: &Value) {
+    let text_field = |key: &str| row[key].as_str().unwrap_or_default().to_owned();
+    let sum = sums.entry((text_field("account"), text_field("objective"))).or_default();
     sum.target = row["target"].as_f64().unwrap_or(0.0);
     let windows = row["windows"].as_array().map_or(&[][..], Vec::as_slice);
-    for (place, window) in windows.iter().enumerate() {
-        if sum.windows.len() <= place {
+    for (index, window) in windows.iter().enumerate() {
+        if sum.windows.len() <= index {
             sum.windows.push(WindowSum::default());
         }
-        let number = |key: &str| window[key].as_u64().unwrap_or(0);
-        let held = &mut sum.windows[place];
-        held.minutes = number("minutes");
-        held.good += number("good");
-        held.total += number("total");
+        let number_field = |key: &str| window[key].as_u64().unwrap_or(0);
+        let window_sum = &mut sum.windows[index];
+        window_sum.minutes = number_field("minutes");
+        window_sum.good += number_field("good");
+        window_sum.total += number_field("total");
     }
 }
 
-fn to_json(sums: &BTreeMap<(String, String), BurnSum>, missing: &[String]) -> String {
+fn to_json(sums: &BTreeMap<(String, String), BurnSum>, unreachable_vms: &[String]) -> String {
     let rows: Vec<Value> = sums
         .iter()
         .map(|((account, objective), sum)| {
@@ -91,10 +91,10 @@
                     "windows": windows, "budget_left": sum.budget_left() })
         })
         .collect();
-    json!({ "burn": rows, "missing": missing }).to_string()
+    json!({ "burn": rows, "missing": unreachable_vms }).to_string()
 }
 
-fn to_text(sums: &BTreeMap<(String, String), BurnSum>, missing: &[String]) -> String {
+fn to_text(sums: &BTreeMap<(String, String), BurnSum>, unreachable_vms: &[String]) -> String {
     let mut text = String::new();
     let _ = writeln!(
         text,
@@ -108,7 +108,7 @@
         }
         let _ = writeln!(text, " {:>7.0}%", sum.budget_left() * 100.0);
     }
-    for line in missing {
+    for line in unreachable_vms {
         let _ = writeln!(text, "not reached: {line}");
     }
     text
--- a/crates/spanfold/src/held.rs
+++ b/crates/spanfold/src/held.rs
@@ -1,18 +1,18 @@
-//! `spanfold held`: requests that gateways hold back because endpoints end under them.
+//! `spanfold held`: requests that gateways have quarantined because endpoints crash under them.
 
-use crate::client::{answers_code, answers_json, ask_vms};
-use crate::outcome::{FINDINGS, NOT_REACHED, Outcome};
+use crate::client::{answers_json, exit_code_of, query_vms};
+use crate::outcome::{CommandOutcome, EXIT_FINDINGS, EXIT_UNREACHABLE};
 use serde_json::{Value, json};
 use spanfold_keyvalue::{PlatformError, post_json};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-/// Lists what each VM holds back, or has on trial after a hold.
-pub(crate) async fn list(as_json: bool, vms: &[SocketAddr]) -> Outcome {
-    let answers = ask_vms(vms, "/held").await;
-    let code = answers_code(&answers);
+/// Lists the requests that each VM has in quarantine, or on probation after one.
+pub(crate) async fn list(as_json: bool, vms: &[SocketAddr]) -> CommandOutcome {
+    let answers = query_vms(vms, "/held").await;
+    let code = exit_code_of(&answers);
     if as_json {
-        return Outcome { text: answers_json(&answers, "held"), code };
+        return CommandOutcome { text: answers_json(&answers, "held"), code };
     }
     let mut text = String::new();
     for (vm, answer) in &answers {
@@ -26,30 +26,32 @@
     if text.is_empty() {
         text.push_str("nothing is held back\n");
     }
-    Outcome { text, code }
+    CommandOutcome { text, code }
 }
 
 fn write_row(text: &mut String, vm: SocketAddr, row: &Value) {
-    let word = |key: &str| row[key].as_str().unwrap_or_default().to_owned();
-    let number = |key: &str| row[key].as_u64().unwrap_or(0);
+    let text_field = |key: &str| row[key].as_str().unwrap_or_default().to_owned();
+    let number_field = |key: &str| row[key].as_u64().unwrap_or(0);
     let _ = writeln!(
         text,
         "{vm}  {}  {} (hold {}) for {} s more  {} endpoints ended  {} turned away here  {}",
-        word("digest"),
-        word("phase"),
-        number("round"),
-        number("rest_s"),
-        number("endings"),
-        number("turned_away"),
-        word("request"),
+        text_field("digest"),
+        text_field("phase"),
+        number_field("round"),
+        number_field("rest_s"),
+        number_field("endings"),
+        number_field("turned_away"),
+        text_field("request"),
     );
 }
 
-/// Lifts a hold at one VM, which tells the others and the store.
-pub(crate) async fn lift(vm: SocketAddr, digest: &str) -> Outcome {
+/// Releases a request from quarantine at one VM, which propagates this to the other VMs and the store.
+pub(crate) async fn lift(vm: SocketAddr, digest: &str) -> CommandOutcome {
     match post_json(vm, &format!("/held/{digest}/lift"), &json!({})).await {
-        Ok(_) => Outcome::done(format!("{digest}: lifted\n")),
-        Err(PlatformError::Refused { text, .. }) => Outcome::fault(FINDINGS, format!("{digest}: {text}")),
-        Err(error) => Outcome::fault(NOT_REACHED, format!("{vm}: {error}\n")),
+        Ok(_) => CommandOutcome::success(format!("{digest}: lifted\n")),
+        Err(PlatformError::Refused { text, .. }) => {
+            CommandOutcome::failure(EXIT_FINDINGS, format!("{digest}: {text}"))
+        }
+        Err(error) => CommandOutcome::failure(EXIT_UNREACHABLE, format!("{vm}: {error}\n")),
     }
 }
--- a/crates/spanfold/src/main.rs
+++ b/crates/spanfold/src/main.rs
@@ -1,7 +1,7 @@
 //! `spanfold`: the operators' command.
 //!
-//! Exit codes: 0 done, 1 findings or differences, 2 wrong use, 3 lost the race, 4 platform or VM
-//! not reached, 5 not in force in time.
+//! Exit codes: 0 success, 1 findings or differences, 2 wrong use, 3 another change was accepted first,
+//! 4 platform or VM unreachable, 5 change not in force in time.
 
 mod arguments;
 mod burn_report;
@@ -15,7 +15,7 @@
 mod status_report;
 
 use arguments::{Command, HeldCall};
-use outcome::Outcome;
+use outcome::CommandOutcome;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
@@ -24,7 +24,7 @@
         Ok(runtime) => runtime,
         Err(error) => {
             eprintln!("cannot start: {error}");
-            return ExitCode::from(outcome::NOT_REACHED);
+            return ExitCode::from(outcome::EXIT_UNREACHABLE);
         }
     };
     let outcome = runtime.block_on(run(command));
@@ -32,10 +32,10 @@
     ExitCode::from(outcome.code)
 }
 
-async fn run(command: Command) -> Outcome {
+async fn run(command: Command) -> CommandOutcome {
     match command {
         Command::Check { files } => declare::check(&files),
-        Command::Digest { key } => Outcome::done(spanfold_declare::key_digest(&key)),
+        Command::Digest { key } => CommandOutcome::success(spanfold_declare::key_digest(&key)),
         Command::Show { platform } => declare::show(platform).await,
         Command::Diff { platform, files } => declare::diff(platform, &files).await,
         Command::Apply { platform, expect, author, wait, vms, files } => {
--- a/crates/spanfold/src/status_report.rs
+++ b/crates/spanfold/src/status_report.rs
@@ -1,40 +1,40 @@
-//! `spanfold status`.
+//! `spanfold status`: state of VMs, their endpoints and queues.
 
-use crate::client::{answers_code, answers_json, ask_vms};
-use crate::outcome::Outcome;
+use crate::client::{answers_json, exit_code_of, query_vms};
+use crate::outcome::CommandOutcome;
 use serde_json::Value;
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-/// Shows what each VM says of itself.
-pub(crate) async fn status(as_json: bool, vms: &[SocketAddr]) -> Outcome {
-    let answers = ask_vms(vms, "/status").await;
-    let code = answers_code(&answers);
+/// Prints the status that each VM reports.
+pub(crate) async fn status(as_json: bool, vms: &[SocketAddr]) -> CommandOutcome {
+    let answers = query_vms(vms, "/status").await;
+    let code = exit_code_of(&answers);
     if as_json {
-        return Outcome { text: answers_json(&answers, "status"), code };
+        return CommandOutcome { text: answers_json(&answers, "status"), code };
     }
     let mut text = String::new();
     for (vm, answer) in &answers {
         match answer {
-            // Only a gateway follows a platform's store.
-            Ok(status) if status["store"].is_object() => write_gateway(&mut text, *vm, status),
-            Ok(status) => write_status(&mut text, *vm, status),
+            // Only a gateway follows the platform's store and has `store` in its status.
+            Ok(status) if status["store"].is_object() => write_gateway_status(&mut text, *vm, status),
+            Ok(status) => write_daemon_status(&mut text, *vm, status),
             Err(error) => {
                 let _ = writeln!(text, "{vm}: {error}");
             }
         }
     }
-    Outcome { text, code }
+    CommandOutcome { text, code }
 }
 
-fn write_gateway(text: &mut String, vm: SocketAddr, status: &Value) {
-    let word = |key: &str| status[key].as_str().unwrap_or_default().to_owned();
+fn write_gateway_status(text: &mut String, vm: SocketAddr, status: &Value) {
+    let text_field = |key: &str| status[key].as_str().unwrap_or_default().to_owned();
     let state = if status["stopping"] == true { " stopping" } else { "" };
     let _ = writeln!(
         text,
         "{} ({vm}) in {}: configuration {}, store {}:{}, {} open, {} endpoints, {} cold{state}",
-        word("name"),
-        word("data_centre"),
+        text_field("name"),
+        text_field("data_centre"),
         status["configuration"],
         status["store"]["era"],
         status["store"]["revision"],
@@ -58,14 +58,14 @@
     for endpoint in status["leaving"].as_array().into_iter().flatten() {
         let _ = writeln!(text, "  {} leaves", endpoint.as_str().unwrap_or_default());
     }
-    for rest in status["rests"].as_array().into_iter().flatten() {
-        let name = |key: &str| rest[key].as_str().unwrap_or_default().to_owned();
+    for backoff in status["rests"].as_array().into_iter().flatten() {
+        let name = |key: &str| backoff[key].as_str().unwrap_or_default().to_owned();
         let _ = writeln!(
             text,
             "  {} of {} asked this VM for rest, {} ms left",
             name("endpoint"),
             name("service"),
-            rest["left_ms"],
+            backoff["left_ms"],
         );
     }
     for data_centre in status["evacuated"].as_array().into_iter().flatten() {
@@ -73,19 +73,19 @@
     }
 }
 
-fn write_status(text: &mut String, vm: SocketAddr, status: &Value) {
-    let word = |key: &str| status[key].as_str().unwrap_or_default().to_owned();
-    let number = |key: &str| status[key].as_u64().unwrap_or(0);
+fn write_daemon_status(text: &mut String, vm: SocketAddr, status: &Value) {
+    let text_field = |key: &str| status[key].as_str().unwrap_or_default().to_owned();
+    let number_field = |key: &str| status[key].as_u64().unwrap_or(0);
     let state = if status["stopping"] == true { " stopping" } else { "" };
     let _ = writeln!(
         text,
         "{} ({vm}) in {}: generation {}, {} open, {} kept pieces, {} bypassed{state}",
-        word("name"),
-        word("data_centre"),
-        number("generation"),
-        number("open_requests"),
-        number("kept_pieces"),
-        number("bypassed"),
+        text_field("name"),
+        text_field("data_centre"),
+        number_field("generation"),
+        number_field("open_requests"),
+        number_field("kept_pieces"),
+        number_field("bypassed"),
     );
     let rows = |key: &str| status[key].as_array().cloned().unwrap_or_default();
     for row in rows("vms") {
--- a/crates/spanfold/tests/command.rs
+++ b/crates/spanfold/tests/command.rs
@@ -19,7 +19,7 @@
     .unwrap()
 }
 
-fn words(text: &str) -> Vec<String> {
+fn split_arguments(text: &str) -> Vec<String> {
     text.split_whitespace().map(str::to_owned).collect()
 }
 
@@ -32,7 +32,7 @@
     twice = { "[pool p]\nkind = store\n[pool p]\nkind = store\n", "stands already at" },
     no_value = { "[pool p]\nkind\n", "expected `key = value`" },
 )]
-fn check_reports_each_finding_with_its_place(text: &str, expected: &str) {
+fn check_reports_each_finding_with_file_and_line(text: &str, expected: &str) {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("bad.ini");
     std::fs::write(&file, text).unwrap();
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_goes_from_file_to_force() {
+async fn a_declared_change_gets_in_force_at_the_vms() {
     let objective = "[objective first]\naccounts =\nkind = first-token\nthreshold_ms = 5000\ntarget = 0.9\n";
     let plan = DeploymentPlan { declarations: objective.to_owned(), ..DeploymentPlan::default() };
     let deployment = Deployment::start(plan).await.unwrap();
@@ -67,38 +67,40 @@
     std::fs::write(&file, text).unwrap();
     let platform = format!("--platform {}", deployment.platform.key_value());
     let (vm, file) = (deployment.operators("vm-a1"), file.display());
-    let (code, output) = run(words(&format!("diff {platform} {file}"))).await;
+    let (code, output) = run(split_arguments(&format!("diff {platform} {file}"))).await;
     assert_eq!(code, 1, "{output}");
     assert!(output.contains("+ [client-account fresh]"), "{output}");
-    let (code, output) = run(words(&format!("apply {platform} --expect 1 --wait 20 --vm {vm} {file}"))).await;
+    let (code, output) =
+        run(split_arguments(&format!("apply {platform} --expect 1 --wait 20 --vm {vm} {file}"))).await;
     assert_eq!(code, 0, "{output}");
     assert!(output.contains("in force at") && output.contains("in dc-a"), "{output}");
-    let (code, output) = run(words(&format!("apply {platform} --expect 1 --author late {file}"))).await;
+    let (code, output) =
+        run(split_arguments(&format!("apply {platform} --expect 1 --author late {file}"))).await;
     assert_eq!(code, 3, "{output}");
     assert!(output.contains("generation 2 by operator"), "{output}");
-    let (code, output) = run(words(&format!("diff {platform} {file}"))).await;
+    let (code, output) = run(split_arguments(&format!("diff {platform} {file}"))).await;
     assert_eq!((code, output.contains("no differences")), (0, true), "{output}");
     let (code, output) =
-        run(words(&format!("label {platform} client-account fresh tier=gold size=small"))).await;
+        run(split_arguments(&format!("label {platform} client-account fresh tier=gold size=small"))).await;
     assert_eq!(code, 0, "{output}");
-    let (code, output) = run(words(&format!("drain {platform} engine-a1"))).await;
+    let (code, output) = run(split_arguments(&format!("drain {platform} engine-a1"))).await;
     assert_eq!(code, 0, "{output}");
-    let (code, output) = run(words(&format!("show {platform}"))).await;
+    let (code, output) = run(split_arguments(&format!("show {platform}"))).await;
     assert!(code == 0 && output.contains("labels = size=small, tier=gold"), "{output}");
     assert!(output.contains("draining = yes"), "{output}");
-    let (code, output) = run(words(&format!("label {platform} client-account nobody a=b"))).await;
+    let (code, output) = run(split_arguments(&format!("label {platform} client-account nobody a=b"))).await;
     assert_eq!(code, 2, "{output}");
     let answer =
         Caller::new("key-small").complete(deployment.callers("vm-a1"), "visa-7b", "hi", 2, &[]).await;
     assert_eq!(answer.unwrap().status, 200);
-    let (code, output) = run(words(&format!("status {vm}"))).await;
+    let (code, output) = run(split_arguments(&format!("status {vm}"))).await;
     assert!(code == 0 && output.contains("vm-a1") && output.contains("cell assistants/dc-a/0"), "{output}");
-    let (code, output) = run(words(&format!("report burn {vm}"))).await;
+    let (code, output) = run(split_arguments(&format!("report burn {vm}"))).await;
     assert!(code == 0 && output.contains("small") && output.contains("first"), "{output}");
-    let (code, output) = run(words(&format!("report --json burn {vm}"))).await;
+    let (code, output) = run(split_arguments(&format!("report --json burn {vm}"))).await;
     let report: serde_json::Value = serde_json::from_str(&output).unwrap();
     assert_eq!((code, &report["burn"][0]["windows"][0]["good"]), (0, &1.into()), "{output}");
-    let (code, _) = run(words("status 127.0.0.1:1")).await;
+    let (code, _) = run(split_arguments("status 127.0.0.1:1")).await;
     assert_eq!(code, 4);
 }
 
@@ -115,11 +117,11 @@
         caller.complete(deployment.callers("vm-a1"), "visa-7b", &prompt, 3, &[]).await.unwrap();
     }
     deployment.stop_vm("vm-a1").await;
-    // The last line may be cut off in mid-write.
+    // The last line may have been written only in part.
     let text = std::fs::read_to_string(&file).unwrap();
-    let whole = text.rfind("\n@").map_or(text.len(), |place| place + 1);
-    std::fs::write(&file, &text[..whole]).unwrap();
+    let complete_length = text.rfind("\n@").map_or(text.len(), |position| position + 1);
+    std::fs::write(&file, &text[..complete_length]).unwrap();
     let (code, output) = run(vec!["replay".to_owned(), file.display().to_string()]).await;
     assert_eq!(code, 0, "{output}");
-    assert!(text.matches("\"Dispatch\"").count() >= 3, "the calls are in it");
+    assert!(text.matches("\"Dispatch\"").count() >= 3, "the session contains the calls");
 }
--- a/crates/spanfold/tests/explain.rs
+++ b/crates/spanfold/tests/explain.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_story_holds_the_request_and_what_its_vm_believed() {
+fn explain_prints_the_request_and_preceding_events_of_its_vm() {
     let (code, text) = explain("r-77");
     assert_eq!(code, 0);
     let expected = "\
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn a_request_without_a_line_is_said_to_have_none() {
+fn explain_reports_a_request_without_log_lines() {
     let (code, text) = explain("r-0");
     assert_eq!(code, 1);
     assert!(text.starts_with("r-0: no line of it in 10 lines (1 passed over)"), "{text}");
 }
 
 #[test]
-fn the_story_of_a_request_that_was_held_back_holds_the_evidence_of_all_vms() {
+fn explain_of_a_quarantined_request_prints_the_evidence_of_all_vms() {
     let (code, text) = explain_from("r-9", ["quarantine-1.log", "quarantine-2.log"]);
     assert_eq!(code, 0);
     let expected = "\
@@ -53,9 +53,9 @@
     assert_eq!(text, expected);
 }
 
-/// What kept a request from its endpoints was told by answers to other requests.
+/// The departure and the backoff of the endpoints were reported in answers to other requests.
 #[test]
-fn the_story_of_a_request_that_found_no_endpoint_names_departures_and_rests() {
+fn explain_of_a_request_without_endpoint_prints_departures_and_backoffs() {
     let (code, text) = explain_from("r-3", ["rests.log", "vm-2.log"]);
     assert_eq!(code, 0);
     let expected = "\
--- a/crates/spanfold/tests/held.rs
+++ b/crates/spanfold/tests/held.rs
@@ -1,4 +1,4 @@
-//! `spanfold held` against a VM that answers by script.
+//! `spanfold held` against a VM with scripted answers.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -7,8 +7,8 @@
 const ROWS: &str = r#"[{"digest":"00ff","request":"one POST h/p (5 bytes)","phase":"held","round":1,"endings":3,
     "rest_s":540,"turned_away":7}]"#;
 
-/// Answers each call with `body`, or as not found if its first line is not `expected`.
-fn answering(expected: &'static str, body: &'static str) -> SocketAddr {
+/// Starts a VM that answers calls whose head starts with `expected_start` with `body`, others with 404.
+fn start_scripted_vm(expected_start: &'static str, body: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -16,7 +16,7 @@
             let mut stream = stream.unwrap();
             let mut head = [0; 4_096];
             let length = stream.read(&mut head).unwrap();
-            let is_expected = head[..length].starts_with(expected.as_bytes());
+            let is_expected = head[..length].starts_with(expected_start.as_bytes());
             let (status, body) =
                 if is_expected { ("200 OK", body) } else { ("404 Not Found", "no such hold\n") };
             let answer = format!(
@@ -29,7 +29,7 @@
     address
 }
 
-fn held(arguments: &[&str]) -> (i32, String) {
+fn run_held(arguments: &[&str]) -> (i32, String) {
     let Output { status, stdout, stderr } =
         Command::new(env!("CARGO_BIN_EXE_spanfold")).arg("held").args(arguments).output().unwrap();
     let text = format!("{}{}", String::from_utf8_lossy(&stdout), String::from_utf8_lossy(&stderr));
@@ -37,25 +37,25 @@
 }
 
 #[test]
-fn list_shows_what_each_vm_holds_back_and_which_is_not_reached() {
-    let vm = answering("GET /held ", ROWS).to_string();
-    let (code, text) = held(&["list", &vm]);
+fn list_shows_quarantined_requests_and_unreachable_vms() {
+    let vm = start_scripted_vm("GET /held ", ROWS).to_string();
+    let (code, text) = run_held(&["list", &vm]);
     let row = format!(
         "{vm}  00ff  held (hold 1) for 540 s more  3 endpoints ended  7 turned away here  one POST h/p (5 bytes)\n"
     );
     assert_eq!((code, text.as_str()), (0, row.as_str()));
-    let (code, text) = held(&["list", "--json", &vm, "127.0.0.1:9"]);
+    let (code, text) = run_held(&["list", "--json", &vm, "127.0.0.1:9"]);
     assert_eq!(code, 4);
     assert!(text.contains("\"digest\":\"00ff\"") && text.contains("\"error\""), "{text}");
-    let none = answering("GET /held ", "[]").to_string();
-    assert_eq!(held(&["list", &none]), (0, "nothing is held back\n".to_owned()));
+    let none = start_scripted_vm("GET /held ", "[]").to_string();
+    assert_eq!(run_held(&["list", &none]), (0, "nothing is held back\n".to_owned()));
 }
 
 #[test]
-fn lift_names_the_hold_and_tells_if_there_is_none() {
-    let vm = answering("POST /held/00ff/lift ", "{\"lifted\":true}").to_string();
-    assert_eq!(held(&["lift", &vm, "00ff"]), (0, "00ff: lifted\n".to_owned()));
-    assert_eq!(held(&["lift", &vm, "aaaa"]), (1, "aaaa: no such hold\n".to_owned()));
-    assert_eq!(held(&["lift", "127.0.0.1:9", "00ff"]).0, 4);
-    assert_eq!(held(&["lift", &vm]).0, 1);
+fn lift_prints_the_digest_and_fails_for_an_unknown_one() {
+    let vm = start_scripted_vm("POST /held/00ff/lift ", "{\"lifted\":true}").to_string();
+    assert_eq!(run_held(&["lift", &vm, "00ff"]), (0, "00ff: lifted\n".to_owned()));
+    assert_eq!(run_held(&["lift", &vm, "aaaa"]), (1, "aaaa: no such hold\n".to_owned()));
+    assert_eq!(run_held(&["lift", "127.0.0.1:9", "00ff"]).0, 4);
+    assert_eq!(run_held(&["lift", &vm]).0, 1);
 }
--- a/crates/spanfold/tests/losses.rs
+++ b/crates/spanfold/tests/losses.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn json_holds_the_same_rows() {
+fn json_contains_the_same_rows() {
     let (code, text) = losses(&["--json"]);
     assert_eq!(code, 0);
     let value: serde_json::Value = serde_json::from_str(&text).unwrap();
