--- a/crates/standin/examples/bench.rs
+++ b/crates/standin/examples/bench.rs
@@ -1,10 +1,10 @@
-//! The bench: real daemons and stand-ins in one process, variants interleaved.
+//! Compares routing variants under load, with real daemons and stand-ins in one process.
 //!
 //! `cargo bench-fleet [FILE] [--runs N] [--workload NAME] [--variant NAME] [--json FILE]`
 //!
-//! The same workload and seed for each variant. Prints for each variant and, with `--accounts`,
-//! for each client account: time to first token, recomputed share, link use, refusals, and tokens
-//! served against the promise.
+//! Runs of the variants are interleaved, with the same workload and seed for each. Prints for each
+//! variant and, with `--accounts`, for each client account: time to first token, recomputed share, link
+//! use, refusals, and tokens served as a share of those promised.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -19,29 +19,29 @@
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
 const VARIANTS: [&str; 4] = ["round-robin", "least-loaded", "affinity", "spanfold"];
-const TOKEN_BYTES: usize = 4;
+const BYTES_PER_TOKEN: usize = 4;
 
 /// One request of a workload.
 #[derive(Clone)]
 struct PlannedCall {
     account: String,
     prompt: String,
-    at: Duration,
+    send_offset: Duration,
     vm: usize,
 }
 
-/// What became of one request.
+/// Outcome of one request.
 struct CallResult {
     account: String,
     code: String,
     status: u16,
     first_millis: f64,
     usage: [u64; 3],
-    asked: u64,
-    got: u64,
+    requested_tokens: u64,
+    served_tokens: u64,
 }
 
-struct Options {
+struct RunOptions {
     file: String,
     runs: usize,
     workload: Option<String>,
@@ -50,8 +50,8 @@
     accounts: bool,
 }
 
-fn read_options() -> Options {
-    let mut options = Options {
+fn read_options() -> RunOptions {
+    let mut options = RunOptions {
         file: "examples/workloads/mawid.ini".to_owned(),
         runs: 3,
         workload: None,
@@ -78,20 +78,20 @@
     section.value(key).and_then(|text| text.parse().ok()).unwrap_or_else(|| panic!("{key} is missing"))
 }
 
-/// A number that is zero if it is not set.
-fn optional(section: &Section, key: &str) -> f64 {
+/// Returns a number, or zero if it is not set.
+fn number_or_zero(section: &Section, key: &str) -> f64 {
     section.value(key).and_then(|text| text.parse().ok()).unwrap_or(0.0)
 }
 
-fn whole(section: &Section, key: &str) -> usize {
+fn integer(section: &Section, key: &str) -> usize {
     number(section, key) as usize
 }
 
 fn accounts(fleet: &Section) -> Vec<(String, f64)> {
     let large =
-        (0..whole(fleet, "large_accounts")).map(|n| (format!("large-{n}"), number(fleet, "large_percent")));
+        (0..integer(fleet, "large_accounts")).map(|n| (format!("large-{n}"), number(fleet, "large_percent")));
     let small =
-        (0..whole(fleet, "small_accounts")).map(|n| (format!("small-{n}"), number(fleet, "small_percent")));
+        (0..integer(fleet, "small_accounts")).map(|n| (format!("small-{n}"), number(fleet, "small_percent")));
     large.chain(small).collect()
 }
 
@@ -99,11 +99,11 @@
     let rates = EngineRates {
         prefill_micros: number(fleet, "prefill_us") as u64,
         decode_micros: number(fleet, "decode_us") as u64,
-        memory_pieces: whole(fleet, "memory_pieces"),
+        memory_pieces: integer(fleet, "memory_pieces"),
         slots: number(fleet, "slots") as u32,
         event_lag_millis: 100,
     };
-    let centres: Vec<String> = (0..whole(fleet, "data_centres")).map(|n| format!("dc-{n}")).collect();
+    let centres: Vec<String> = (0..integer(fleet, "data_centres")).map(|n| format!("dc-{n}")).collect();
     let each = |kind: &str, count: usize| -> Vec<(String, String)> {
         let names = |centre: &String| -> Vec<_> {
             (0..count).map(|n| (format!("{kind}-{centre}-{n}"), centre.clone())).collect()
@@ -111,21 +111,21 @@
         centres.iter().flat_map(names).collect()
     };
     DeploymentPlan {
-        vms: each("vm", whole(fleet, "vms")),
-        engines: each("engine", whole(fleet, "engines"))
+        vms: each("vm", integer(fleet, "vms")),
+        engines: each("engine", integer(fleet, "engines"))
             .into_iter()
             .map(|(name, data_centre)| EnginePlan { name, data_centre, rates, fenced: true })
             .collect(),
-        // Stores stand in one data centre and serve all.
-        stores: (0..whole(fleet, "stores"))
+        // The stores are in a data centre of their own and serve all.
+        stores: (0..integer(fleet, "stores"))
             .map(|n| StorePlan {
                 name: format!("store-{n}"),
                 data_centre: "stores".to_owned(),
-                room: whole(fleet, "room"),
+                room: integer(fleet, "room"),
                 transfer_micros: number(fleet, "transfer_us") as u64,
             })
             .collect(),
-        services: each("desk", whole(fleet, "services")),
+        services: each("desk", integer(fleet, "services")),
         accounts: accounts(fleet),
         declarations: centres
             .iter()
@@ -136,7 +136,7 @@
     }
 }
 
-fn text_of(seed: &str, bytes: usize) -> String {
+fn filler_text(seed: &str, bytes: usize) -> String {
     let mut text = String::with_capacity(bytes + 64);
     for line in 0.. {
         if text.len() >= bytes {
@@ -153,39 +153,41 @@
     let names = accounts(fleet);
     let (large, small): (Vec<_>, Vec<_>) = names.iter().partition(|(name, _)| name.starts_with("large"));
     let seconds = number(workload, "seconds");
-    let mut calls: Vec<PlannedCall> = (0..whole(workload, "requests"))
+    let mut calls: Vec<PlannedCall> = (0..integer(workload, "requests"))
         .map(|call| {
             let group = if random.random_bool(number(workload, "large_part")) { &large } else { &small };
-            let choices = match optional(workload, "only_small") as usize {
+            let choices = match number_or_zero(workload, "only_small") as usize {
                 0 => group.len(),
-                few => few,
+                account_count => account_count,
             };
             let account = group[random.random_range(0..choices)].0.clone();
-            let document = random.random_range(0..whole(workload, "documents"));
-            let manual =
-                text_of(&format!("{account} manual {document}"), whole(workload, "pieces") * PIECE_BYTES);
-            let tail = text_of(&format!("question {call}"), whole(workload, "tail_bytes"));
-            let at = Duration::from_secs_f64(random.random_range(0.0..seconds));
-            PlannedCall { account, prompt: manual + &tail, at, vm: random.random_range(0..vms) }
+            let document = random.random_range(0..integer(workload, "documents"));
+            let manual = filler_text(
+                &format!("{account} manual {document}"),
+                integer(workload, "pieces") * PIECE_BYTES,
+            );
+            let tail = filler_text(&format!("question {call}"), integer(workload, "tail_bytes"));
+            let send_offset = Duration::from_secs_f64(random.random_range(0.0..seconds));
+            PlannedCall { account, prompt: manual + &tail, send_offset, vm: random.random_range(0..vms) }
         })
         .collect();
-    // A flood of the first large account: each prompt is its own and never returns.
-    for call in 0..optional(workload, "flood") as usize {
-        let prompt = text_of(&format!("flood {call}"), whole(workload, "pieces") * 3 * PIECE_BYTES);
-        let at = Duration::from_secs_f64(random.random_range(0.0..seconds));
+    // A flood by the first large account: each prompt differs and is sent once.
+    for call in 0..number_or_zero(workload, "flood") as usize {
+        let prompt = filler_text(&format!("flood {call}"), integer(workload, "pieces") * 3 * PIECE_BYTES);
+        let send_offset = Duration::from_secs_f64(random.random_range(0.0..seconds));
         calls.push(PlannedCall {
             account: "large-0".to_owned(),
             prompt,
-            at,
+            send_offset,
             vm: random.random_range(0..vms),
         });
     }
-    calls.sort_by_key(|call| call.at);
+    calls.sort_by_key(|call| call.send_offset);
     calls
 }
 
-/// The part of prompt tokens that must be computed if each distinct piece is computed once.
-fn bound(calls: &[PlannedCall]) -> f64 {
+/// Returns the fraction of prompt tokens that is computed if each distinct prefix is computed once.
+fn min_recomputed_fraction(calls: &[PlannedCall]) -> f64 {
     let (mut seen, mut computed, mut total) = (HashSet::new(), 0, 0);
     for call in calls {
         let bytes = call.prompt.as_bytes();
@@ -214,25 +216,27 @@
         .iter()
         .map(|call| (call.account.clone(), Caller::new(&format!("key-{}", call.account))))
         .collect();
-    let (tokens, deadline) = (number(workload, "tokens") as u32, whole(workload, "deadline_ms").to_string());
-    let begin = tokio::time::Instant::now() + Duration::from_millis(100);
+    let (tokens, deadline) =
+        (number(workload, "tokens") as u32, integer(workload, "deadline_ms").to_string());
+    let started_at = tokio::time::Instant::now() + Duration::from_millis(100);
     let mut tasks = tokio::task::JoinSet::new();
     for call in calls.iter().cloned() {
-        let (caller, to, deadline) = (callers[&call.account].clone(), addresses[call.vm], deadline.clone());
+        let (caller, address, deadline) =
+            (callers[&call.account].clone(), addresses[call.vm], deadline.clone());
         tasks.spawn(async move {
-            tokio::time::sleep_until(begin + call.at).await;
+            tokio::time::sleep_until(started_at + call.send_offset).await;
             let headers = [("spanfold-deadline-ms", deadline.as_str())];
-            let answer = caller.complete(to, "visa-7b", &call.prompt, tokens, &headers).await;
-            let asked = (call.prompt.len() / TOKEN_BYTES) as u64 + u64::from(tokens);
+            let answer = caller.complete(address, "visa-7b", &call.prompt, tokens, &headers).await;
+            let requested_tokens = (call.prompt.len() / BYTES_PER_TOKEN) as u64 + u64::from(tokens);
             match answer {
                 Ok(answer) => CallResult {
                     account: call.account,
                     code: answer.code(),
                     status: answer.status,
                     first_millis: answer.first.as_secs_f64() * 1e3,
-                    usage: ["cached", "imported", "computed"].map(|part| answer.usage(part)),
-                    asked,
-                    got: if answer.status == 200 { asked } else { 0 },
+                    usage: ["cached", "imported", "computed"].map(|source| answer.usage(source)),
+                    requested_tokens,
+                    served_tokens: if answer.status == 200 { requested_tokens } else { 0 },
                 },
                 Err(_) => CallResult {
                     account: call.account,
@@ -240,8 +244,8 @@
                     status: 0,
                     first_millis: 0.0,
                     usage: [0; 3],
-                    asked,
-                    got: 0,
+                    requested_tokens,
+                    served_tokens: 0,
                 },
             }
         });
@@ -249,18 +253,18 @@
     tasks.join_all().await
 }
 
-fn percentile(sorted: &[f64], part: f64) -> f64 {
+fn percentile(sorted: &[f64], fraction: f64) -> f64 {
     if sorted.is_empty() {
         return f64::NAN;
     }
-    sorted[((sorted.len() - 1) as f64 * part).round() as usize]
+    sorted[((sorted.len() - 1) as f64 * fraction).round() as usize]
 }
 
 fn summary(results: &[&CallResult]) -> Value {
     let good: Vec<_> = results.iter().filter(|result| result.status == 200).collect();
     let mut first: Vec<f64> = good.iter().map(|result| result.first_millis).collect();
     first.sort_by(f64::total_cmp);
-    let sum = |place: usize| good.iter().map(|result| result.usage[place]).sum::<u64>();
+    let sum = |index: usize| good.iter().map(|result| result.usage[index]).sum::<u64>();
     let (cached, imported, computed) = (sum(0), sum(1), sum(2));
     let total = (cached + imported + computed).max(1);
     json!({
@@ -276,16 +280,21 @@
     })
 }
 
-/// Tokens that each account got, over what it was promised of all that was given out or, if that
-/// is less, what it asked for; the least over all accounts.
-fn least_share(results: &[CallResult], promises: &[(String, f64)]) -> (f64, BTreeMap<String, f64>) {
-    let given: u64 = results.iter().map(|result| result.got).sum();
+/// Returns each account's served tokens as a share of its due, and the minimum of all accounts.
+///
+/// The due of an account is its promised percentage of all served tokens, at most what it requested.
+fn min_share(results: &[CallResult], promises: &[(String, f64)]) -> (f64, BTreeMap<String, f64>) {
+    let total_served: u64 = results.iter().map(|result| result.served_tokens).sum();
     let mut shares = BTreeMap::new();
     for (account, percent) in promises {
-        let own = || results.iter().filter(|result| result.account == *account);
-        let (asked, got): (u64, u64) = (own().map(|r| r.asked).sum(), own().map(|r| r.got).sum());
-        let due = (given as f64 * percent / 100.0).min(asked as f64);
-        shares.insert(account.clone(), if due > 0.0 { got as f64 / due } else { 1.0 });
+        let account_results = || results.iter().filter(|result| result.account == *account);
+        let (requested_tokens, served_tokens): (u64, u64) = (
+            account_results().map(|r| r.requested_tokens).sum(),
+            account_results().map(|r| r.served_tokens).sum(),
+        );
+        let due_tokens = (total_served as f64 * percent / 100.0).min(requested_tokens as f64);
+        shares
+            .insert(account.clone(), if due_tokens > 0.0 { served_tokens as f64 / due_tokens } else { 1.0 });
     }
     (shares.values().copied().fold(f64::MAX, f64::min), shares)
 }
@@ -301,9 +310,9 @@
     let vms: Vec<String> = plan.vms.iter().map(|(name, _)| name.clone()).collect();
     let promises = plan.accounts.clone();
     let deployment = Deployment::start(plan).await.expect("the deployment starts");
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     let results = run_calls(&deployment, &vms, calls, workload).await;
-    let elapsed = begun.elapsed().as_secs_f64();
+    let elapsed = started_at.elapsed().as_secs_f64();
     let all: Vec<&CallResult> = results.iter().collect();
     let mut row = summary(&all);
     let mut codes: BTreeMap<&str, u32> = BTreeMap::new();
@@ -311,19 +320,19 @@
         *codes.entry(result.code.as_str()).or_default() += 1;
     }
     row["codes"] = json!(codes);
-    let (least, shares) = least_share(&results, &promises);
-    let link: u64 = deployment.stores.values().map(|store| store.link_use().1).sum();
-    let links = deployment.stores.len().max(1) as f64;
-    row["least_share"] = json!(least);
-    row["link_use"] = json!(link as f64 / 1e6 / elapsed / links);
+    let (min_share, shares) = min_share(&results, &promises);
+    let link_micros: u64 = deployment.stores.values().map(|store| store.link_use().1).sum();
+    let link_count = deployment.stores.len().max(1) as f64;
+    row["least_share"] = json!(min_share);
+    row["link_use"] = json!(link_micros as f64 / 1e6 / elapsed / link_count);
     row["seconds"] = json!(elapsed);
     if by_account {
         let rows: serde_json::Map<String, Value> = promises
             .iter()
             .map(|(account, percent)| {
-                let own: Vec<&CallResult> =
+                let account_results: Vec<&CallResult> =
                     results.iter().filter(|result| result.account == *account).collect();
-                let mut row = summary(&own);
+                let mut row = summary(&account_results);
                 row["promise"] = json!(percent);
                 row["share"] = json!(shares[account]);
                 (account.clone(), row)
@@ -335,20 +344,20 @@
 }
 
 fn print_row(name: &str, row: &Value) {
-    let f = |key: &str| row[key].as_f64().unwrap_or(f64::NAN);
+    let field = |key: &str| row[key].as_f64().unwrap_or(f64::NAN);
     println!(
         "{name:<14} {:>5} {:>6} {:>7} {:>6} {:>8.0} {:>8.0} {:>8.0} {:>9.3} {:>8.3} {:>8.2} {:>8.2}",
-        f("calls"),
-        f("served"),
-        f("refused"),
-        f("failed"),
-        f("p50"),
-        f("p95"),
-        f("p99"),
-        f("recomputed"),
-        f("imported"),
-        f("link_use"),
-        if row["least_share"].is_null() { f("share") } else { f("least_share") },
+        field("calls"),
+        field("served"),
+        field("refused"),
+        field("failed"),
+        field("p50"),
+        field("p95"),
+        field("p99"),
+        field("recomputed"),
+        field("imported"),
+        field("link_use"),
+        if row["least_share"].is_null() { field("share") } else { field("least_share") },
     );
     if row["codes"].as_object().is_some_and(|codes| !codes.is_empty()) {
         println!("    not served: {}", row["codes"]);
@@ -373,7 +382,7 @@
     );
 }
 
-fn median(rows: &[Value], key: &str) -> (f64, f64, f64) {
+fn min_median_max(rows: &[Value], key: &str) -> (f64, f64, f64) {
     let mut values: Vec<f64> = rows.iter().filter_map(|row| row[key].as_f64()).collect();
     values.sort_by(f64::total_cmp);
     (percentile(&values, 0.0), percentile(&values, 0.5), percentile(&values, 1.0))
@@ -390,13 +399,13 @@
         if options.workload.as_ref().is_some_and(|name| *name != workload.name) {
             continue;
         }
-        let vms = whole(fleet, "data_centres") * whole(fleet, "vms");
+        let vms = integer(fleet, "data_centres") * integer(fleet, "vms");
         let calls = plan_calls(fleet, workload, vms);
         println!(
             "\n{}: {} calls, bound on the recomputed share {:.3}",
             workload.name,
             calls.len(),
-            bound(&calls)
+            min_recomputed_fraction(&calls)
         );
         print_head();
         let mut rows: BTreeMap<String, Vec<Value>> = BTreeMap::new();
@@ -415,13 +424,16 @@
             let line: Vec<String> = ["p50", "p95", "recomputed", "served", "least_share"]
                 .iter()
                 .map(|key| {
-                    let (least, middle, most) = median(rows, key);
-                    format!("{key} {least:.2} {middle:.2} {most:.2}")
+                    let (min, middle, max) = min_median_max(rows, key);
+                    format!("{key} {min:.2} {middle:.2} {max:.2}")
                 })
                 .collect();
             println!("  {variant:<13} {}", line.join(", "));
         }
-        report.insert(workload.name.clone(), json!({ "bound": bound(&calls), "variants": rows }));
+        report.insert(
+            workload.name.clone(),
+            json!({ "bound": min_recomputed_fraction(&calls), "variants": rows }),
+        );
     }
     if let Some(file) = options.json {
         std::fs::write(file, Value::Object(report).to_string()).expect("the report is written");
--- a/crates/standin/src/authority.rs
+++ b/crates/standin/src/authority.rs
@@ -1,25 +1,25 @@
-//! Certificates for tests and the quick start: an authority and one identity a VM.
+//! Certificates for tests and the quick start: an authority and one identity per VM.
 
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A certificate authority made for one deployment.
+/// The certificate authority of one deployment.
 #[derive(Debug)]
-pub struct Authority {
+pub struct CertificateAuthority {
     issuer: Issuer<'static, KeyPair>,
     pem: String,
 }
 
-impl Authority {
-    /// Makes a new authority.
+impl CertificateAuthority {
+    /// Creates an authority with a new key.
     ///
     /// # Errors
-    /// If no key could be made.
+    /// If key or certificate cannot be created.
     ///
     /// # Examples
     /// ```
-    /// let authority = spanfold_standin::Authority::new().unwrap();
+    /// let authority = spanfold_standin::CertificateAuthority::new().unwrap();
     /// assert!(authority.pem().contains("BEGIN CERTIFICATE"));
     /// ```
     pub fn new() -> io::Result<Self> {
@@ -31,12 +31,12 @@
         Ok(Self { issuer: Issuer::new(params, key), pem })
     }
 
-    /// The authority's certificate.
+    /// Returns the authority's certificate as PEM text.
     pub fn pem(&self) -> &str {
         &self.pem
     }
 
-    /// A certificate and key for the VM called `name`.
+    /// Issues a certificate for the VM `name`; returns it and its key as PEM text.
     fn issue(&self, name: &str) -> io::Result<(String, String)> {
         let key = KeyPair::generate().map_err(io::Error::other)?;
         let params = CertificateParams::new(vec![name.to_owned()]).map_err(io::Error::other)?;
@@ -45,13 +45,17 @@
     }
 }
 
-/// Writes certificate, key and authority of the VM called `name`; returns their paths.
+/// Writes certificate, key and authority of the VM `name` to files; returns their paths in this order.
 ///
 /// # Errors
 /// If a file cannot be written.
-pub fn write_identity(authority: &Authority, folder: &Path, name: &str) -> io::Result<[PathBuf; 3]> {
+pub fn write_identity(
+    authority: &CertificateAuthority,
+    folder: &Path,
+    name: &str,
+) -> io::Result<[PathBuf; 3]> {
     let (certificate, key) = authority.issue(name)?;
-    let paths = ["certificate", "key", "authority"].map(|part| folder.join(format!("{name}-{part}.pem")));
+    let paths = ["certificate", "key", "authority"].map(|kind| folder.join(format!("{name}-{kind}.pem")));
     std::fs::write(&paths[0], certificate)?;
     std::fs::write(&paths[1], key)?;
     std::fs::write(&paths[2], authority.pem())?;
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A small caller, for tests, the quick start and measurements.
+//! A small HTTP caller for tests, the quick start and measurements.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -12,57 +12,57 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Why a call gave no whole answer.
+/// Why a call returned no complete answer.
 #[derive(Debug)]
 pub enum CallerError {
     /// The connection failed or broke.
     Broken(String),
-    /// The stream ended without its last event; what came is kept.
+    /// The stream ended without its last event; contains what was received.
     Incomplete(Box<Answer>),
 }
 
-/// What a caller got.
+/// An answer as the caller received it.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
     /// The headers.
     pub headers: BTreeMap<String, String>,
-    /// The body, or the text of all events put together.
+    /// The body, or the concatenated text of all events.
     pub text: String,
     /// The id of the last event.
     pub last_id: String,
-    /// Events of the answer.
+    /// Number of events with text.
     pub events: u32,
-    /// Time to the first event, or to the head.
+    /// Time to the first event of a stream, else to the head.
     pub first: Duration,
-    /// Time to the end.
+    /// Time to the end of the answer.
     pub total: Duration,
-    /// The longest pause between two events.
-    pub longest_pause: Duration,
+    /// Longest time between two frames of a stream.
+    pub longest_gap: Duration,
 }
 
 impl Answer {
-    /// Whether it says that the request ran: `no`, `yes` or `unknown`; empty if it does not say.
+    /// Returns `spanfold-ran`, whether the request ran: `no`, `yes` or `unknown`; empty without that header.
     pub fn ran(&self) -> &str {
         self.headers.get("spanfold-ran").map_or("", String::as_str)
     }
 
-    /// A field of `spanfold-usage`, in tokens.
+    /// Returns a field of `spanfold-usage`, in tokens; zero if it is missing.
     pub fn usage(&self, field: &str) -> u64 {
         let text = self.headers.get("spanfold-usage").map_or("", String::as_str);
         let mut pairs = text.split(',').filter_map(|pair| pair.split_once('='));
         pairs.find(|(name, _)| *name == field).and_then(|(_, value)| value.parse().ok()).unwrap_or(0)
     }
 
-    /// The error's code, if the body is an error.
+    /// Returns the error's code if the body is an error, else an empty text.
     pub fn code(&self) -> String {
         let value: Value = serde_json::from_str(&self.text).unwrap_or_default();
         value["error"]["code"].as_str().unwrap_or_default().to_owned()
     }
 }
 
-/// A caller with a bearer key.
+/// An HTTP client with a bearer key.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -70,7 +70,7 @@
 }
 
 impl Caller {
-    /// A caller with this bearer key.
+    /// Creates a caller with a bearer key; an empty `key` is not sent.
     ///
     /// # Examples
     /// ```
@@ -82,26 +82,26 @@
         Self { client: Client::builder(TokioExecutor::new()).build(connector), key: key.to_owned() }
     }
 
-    /// Sends any request; `headers` go with the bearer key.
+    /// Sends a request with `headers` and the bearer key, and reads the whole answer.
     ///
     /// # Errors
     /// If the connection failed or broke.
     pub async fn send(
         &self,
-        to: SocketAddr,
+        address: SocketAddr,
         method: &str,
         path: &str,
         headers: &[(&str, &str)],
         body: impl Into<Bytes>,
     ) -> Result<Answer, CallerError> {
-        let begun = Instant::now();
-        let response = self.request(to, method, path, headers, body.into()).await?;
+        let started_at = Instant::now();
+        let response = self.request(address, method, path, headers, body.into()).await?;
         let mut answer = read_head(&response);
-        answer.first = begun.elapsed();
+        answer.first = started_at.elapsed();
         let body =
             response.into_body().collect().await.map_err(|error| CallerError::Broken(error.to_string()))?;
         answer.text = String::from_utf8_lossy(&body.to_bytes()).into_owned();
-        answer.total = begun.elapsed();
+        answer.total = started_at.elapsed();
         Ok(answer)
     }
 
@@ -111,55 +111,55 @@
     /// If the connection broke, or the stream ended before its last event.
     pub async fn complete(
         &self,
-        to: SocketAddr,
+        address: SocketAddr,
         model: &str,
         prompt: &str,
         tokens: u32,
         headers: &[(&str, &str)],
     ) -> Result<Answer, CallerError> {
         let body = json!({ "model": model, "prompt": prompt, "max_tokens": tokens, "stream": true });
-        self.stream(to, headers, body.to_string(), None).await
+        self.stream(address, headers, body.to_string(), None).await
     }
 
-    /// Sends a completion body and reads its stream, up to `most` events if that is given.
+    /// Sends a completion body and reads its stream, to the end or up to `max_events` events.
     ///
     /// # Errors
     /// If the connection broke, or the stream ended before its last event.
     pub async fn stream(
         &self,
-        to: SocketAddr,
+        address: SocketAddr,
         headers: &[(&str, &str)],
         body: String,
-        most: Option<u32>,
+        max_events: Option<u32>,
     ) -> Result<Answer, CallerError> {
-        let begun = Instant::now();
-        let response = self.request(to, "POST", "/v1/completions", headers, body.into()).await?;
+        let started_at = Instant::now();
+        let response = self.request(address, "POST", "/v1/completions", headers, body.into()).await?;
         let mut answer = read_head(&response);
         let mut stream = response.into_body();
         let (mut buffer, mut done) = (Vec::new(), false);
-        let mut last = Instant::now();
+        let mut previous_event_at = Instant::now();
         while let Some(frame) = stream.frame().await {
             let Ok(frame) = frame else { break };
             if answer.events == 0 {
-                answer.first = begun.elapsed();
+                answer.first = started_at.elapsed();
             } else {
-                answer.longest_pause = answer.longest_pause.max(last.elapsed());
+                answer.longest_gap = answer.longest_gap.max(previous_event_at.elapsed());
             }
-            last = Instant::now();
+            previous_event_at = Instant::now();
             buffer.extend_from_slice(frame.data_ref().map_or(&[], |data| data));
             if answer.status != 200 {
                 continue;
             }
             while let Some(end) = buffer.windows(2).position(|pair| pair == b"\n\n") {
                 let event: Vec<u8> = buffer.drain(..end + 2).collect();
-                done |= take_event(&mut answer, &String::from_utf8_lossy(&event));
-                if most.is_some_and(|most| answer.events >= most) {
-                    answer.total = begun.elapsed();
+                done |= apply_event(&mut answer, &String::from_utf8_lossy(&event));
+                if max_events.is_some_and(|max_events| answer.events >= max_events) {
+                    answer.total = started_at.elapsed();
                     return Ok(answer);
                 }
             }
         }
-        answer.total = begun.elapsed();
+        answer.total = started_at.elapsed();
         if answer.status != 200 {
             answer.text = String::from_utf8_lossy(&buffer).into_owned();
             return Ok(answer);
@@ -169,22 +169,22 @@
 
     async fn request(
         &self,
-        to: SocketAddr,
+        address: SocketAddr,
         method: &str,
         path: &str,
         headers: &[(&str, &str)],
         body: Bytes,
     ) -> Result<Response<Incoming>, CallerError> {
-        let broken = |error: &dyn std::fmt::Display| CallerError::Broken(error.to_string());
-        let mut request = Request::builder().method(method).uri(format!("http://{to}{path}"));
+        let to_broken = |error: &dyn std::fmt::Display| CallerError::Broken(error.to_string());
+        let mut request = Request::builder().method(method).uri(format!("http://{address}{path}"));
         if !self.key.is_empty() {
             request = request.header("authorization", format!("Bearer {}", self.key));
         }
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
-        let request = request.body(Full::new(body)).map_err(|error| broken(&error))?;
-        self.client.request(request).await.map_err(|error| broken(&error))
+        let request = request.body(Full::new(body)).map_err(|error| to_broken(&error))?;
+        self.client.request(request).await.map_err(|error| to_broken(&error))
     }
 }
 
@@ -195,8 +195,8 @@
     Answer { status: response.status().as_u16(), headers: headers.collect(), ..Answer::default() }
 }
 
-/// Takes one event in; true if it is the last of a whole answer.
-fn take_event(answer: &mut Answer, event: &str) -> bool {
+/// Adds one event to `answer`; returns whether it is the last of a complete answer.
+fn apply_event(answer: &mut Answer, event: &str) -> bool {
     let field = |name: &str| event.lines().find_map(|line| line.strip_prefix(name));
     let data = field("data: ").unwrap_or_default();
     if event.starts_with("event: error") {
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -1,8 +1,8 @@
 //! A whole deployment on this machine: platform, endpoints, and one daemon for each entry VM.
 //!
-//! Daemons run in this process, or as processes of their own if the plan names their binary.
+//! Daemons run in this process, or as child processes if the plan names their binary.
 
-use crate::authority::{Authority, write_identity};
+use crate::authority::{CertificateAuthority, write_identity};
 use crate::{EngineRates, EngineStandin, PlatformStandin, ServiceStandin, StoreStandin};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -19,42 +19,44 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
 
-/// Ports below the range that outgoing connections use.
+/// First port of VMs; all [`PORT_COUNT`] ports lie below the range for outgoing connections.
 const FIRST_PORT: u16 = 20_000;
 const PORT_COUNT: u16 = 12_000;
-/// Ports that are tried for one VM: one port in some three hundred was in use by the time it was
-/// listened on, with other processes being started beside.
-pub const START_TRIES: u32 = 5;
-/// Longest wait for a deployment to be ready.
-const READY_WAIT: Duration = Duration::from_secs(20);
-
-/// One engine of a plan.
+/// Attempts to start one VM, each at other ports.
+///
+/// While other processes are being started, about one free port in three hundred is in use again by the
+/// time the VM listens on it.
+pub const MAX_START_ATTEMPTS: u32 = 5;
+/// Time within which a daemon must answer, and a deployment must be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// One engine of a deployment plan.
 #[derive(Clone, Debug)]
 pub struct EnginePlan {
     /// Its name.
     pub name: String,
     /// Its data centre.
     pub data_centre: String,
-    /// How fast it is.
+    /// Its speed and capacity.
     pub rates: EngineRates,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with an outdated fencing number.
     pub fenced: bool,
 }
 
-/// One store of a plan.
+/// One store of a deployment plan.
 #[derive(Clone, Debug)]
 pub struct StorePlan {
     /// Its name.
     pub name: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Blocks that fit into it.
+    /// Number of blocks that fit into it.
     pub room: usize,
-    /// Microseconds that its link takes for a block.
+    /// Microseconds to transfer one block over its link.
     pub transfer_micros: u64,
 }
 
-/// What a deployment is made of.
+/// Composition of a deployment.
 #[derive(Clone, Debug)]
 pub struct DeploymentPlan {
     /// Entry VMs: name and data centre.
@@ -67,11 +69,11 @@
     pub services: Vec<(String, String)>,
     /// Client accounts: name and share in percent; the key of `a` is `key-a`.
     pub accounts: Vec<(String, f64)>,
-    /// More declarations, as INI text.
+    /// Additional declarations, as INI text.
     pub declarations: String,
-    /// Lines added to each daemon's settings, by section.
+    /// Lines added to each daemon's settings, by section; `{vm}` is replaced by the VM's name.
     pub settings: BTreeMap<String, String>,
-    /// The daemon's binary; none to run daemons in this process.
+    /// The daemon's binary; `None` runs daemons in this process.
     pub binary: Option<PathBuf>,
 }
 
@@ -104,11 +106,11 @@
 
 #[derive(Debug)]
 enum VmProcess {
-    Inside(Option<Daemon>),
-    Beside(Child),
+    InProcess(Option<Daemon>),
+    ChildProcess(Child),
 }
 
-/// Where one VM listens.
+/// Addresses at which one VM listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VmPorts {
     /// For callers.
@@ -120,10 +122,10 @@
 }
 
 impl VmPorts {
-    /// Ports that nobody listens on now.
+    /// Finds three ports on which no socket listens.
     ///
     /// # Errors
-    /// If there are none.
+    /// If there are no free ports.
     pub fn find() -> io::Result<Self> {
         Ok(Self { callers: free_port()?, operators: free_port()?, peers: free_port()? })
     }
@@ -131,7 +133,7 @@
 
 /// One entry VM of a deployment.
 #[derive(Debug)]
-struct VmStandin {
+struct RunningVm {
     name: String,
     data_centre: String,
     callers: SocketAddr,
@@ -140,7 +142,7 @@
     process: VmProcess,
 }
 
-/// A running deployment; everything ends when it is dropped.
+/// A running deployment; all of it stops when it is dropped.
 #[derive(Debug)]
 pub struct Deployment {
     /// The platform.
@@ -153,28 +155,28 @@
     pub services: BTreeMap<String, ServiceStandin>,
     plan: DeploymentPlan,
     folder: tempfile::TempDir,
-    authority: Authority,
-    vms: BTreeMap<String, VmStandin>,
+    authority: CertificateAuthority,
+    vms: BTreeMap<String, RunningVm>,
 }
 
 impl Deployment {
-    /// The secret of each deployment, for [`spanfoldd::cache_salt`].
+    /// The secret of every test deployment, from which [`spanfoldd::cache_salt`] derives cache salts.
     pub const SECRET: &'static str = "a secret for tests only";
 
-    /// Starts all of `plan` and waits until every VM is ready.
+    /// Starts the deployment of `plan` and waits until every VM is ready.
     ///
     /// # Errors
-    /// If a part cannot be started or the VMs do not get ready.
+    /// If a component cannot be started or the VMs do not get ready.
     pub async fn start(plan: DeploymentPlan) -> io::Result<Self> {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let platform = PlatformStandin::start(any, any).await?;
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let platform = PlatformStandin::start(any_port, any_port).await?;
         let mut deployment = Self {
             platform,
             engines: BTreeMap::new(),
             stores: BTreeMap::new(),
             services: BTreeMap::new(),
             folder: tempfile::tempdir()?,
-            authority: Authority::new()?,
+            authority: CertificateAuthority::new()?,
             vms: BTreeMap::new(),
             plan,
         };
@@ -190,22 +192,22 @@
     }
 
     async fn start_endpoints(&mut self) -> io::Result<()> {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         for plan in &self.plan.engines {
-            let engine = EngineStandin::start(any, "1", plan.rates, plan.fenced).await?;
+            let engine = EngineStandin::start(any_port, "1", plan.rates, plan.fenced).await?;
             self.engines.insert(plan.name.clone(), engine);
         }
         for plan in &self.plan.stores {
-            let store = StoreStandin::start(any, plan.room, plan.transfer_micros).await?;
+            let store = StoreStandin::start(any_port, plan.room, plan.transfer_micros).await?;
             self.stores.insert(plan.name.clone(), store);
         }
         for (name, _) in &self.plan.services {
-            self.services.insert(name.clone(), ServiceStandin::start(any).await?);
+            self.services.insert(name.clone(), ServiceStandin::start(any_port).await?);
         }
         Ok(())
     }
 
-    /// The declarations of the plan, as operators would write them.
+    /// Returns the declarations of the plan, as operators would write them.
     pub fn declarations(&self) -> String {
         let mut text = String::new();
         for (name, percent) in &self.plan.accounts {
@@ -240,13 +242,13 @@
         text + &self.plan.declarations
     }
 
-    /// Has `text` accepted as the next configuration.
+    /// Submits `text` as the next configuration; returns its generation.
     ///
     /// # Errors
-    /// If the platform does not take it.
+    /// If the platform does not accept it.
     ///
     /// # Panics
-    /// If the text does not parse: that is a fault of the test.
+    /// If the text does not parse, which is an error in the test.
     pub async fn apply(&self, text: &str) -> Result<u64, AcceptError> {
         let document = Document::parse("test", text).expect("a test's declarations parse");
         let bundle = Bundle::cut(&document);
@@ -258,7 +260,7 @@
             .map(|head| head.generation)
     }
 
-    /// Starts one more VM, or one again that has ended, and lists it.
+    /// Starts a new or a stopped VM and adds it to the VM list.
     ///
     /// # Errors
     /// If it cannot be started.
@@ -266,27 +268,27 @@
         self.start_vm_at(name, data_centre, VmPorts::find).await
     }
 
-    /// Starts a VM at the ports that `next_ports` gives, or at the next ones if those turn out to be in use.
+    /// Starts a VM at ports that `next_ports` returns; tries further ports while they are in use.
     ///
-    /// A port found free may be in use a moment later: a process that another thread starts holds a copy of
-    /// the socket that probed it until that process runs its own program.
+    /// A port found free may be in use again: a process that another thread starts holds a copy of the
+    /// socket that probed the port until that process executes its own program.
     ///
     /// # Errors
-    /// If it cannot be started, or [`START_TRIES`] times in a row its ports were in use.
+    /// If it cannot be started, or its ports were in use [`MAX_START_ATTEMPTS`] times in a row.
     pub async fn start_vm_at(
         &mut self,
         name: &str,
         data_centre: &str,
         mut next_ports: impl FnMut() -> io::Result<VmPorts>,
     ) -> io::Result<()> {
-        let mut tries = 0;
+        let mut attempts = 0;
         let (ports, process) = loop {
-            tries += 1;
+            attempts += 1;
             let ports = next_ports()?;
             let file = self.write_settings(name, data_centre, ports)?;
             match self.launch(&file, ports).await {
                 Ok(process) => break (ports, process),
-                Err(error) if error.kind() == io::ErrorKind::AddrInUse && tries < START_TRIES => {}
+                Err(error) if error.kind() == io::ErrorKind::AddrInUse && attempts < MAX_START_ATTEMPTS => {}
                 Err(error) => return Err(error),
             }
         };
@@ -302,12 +304,12 @@
             });
         });
         let data_centre = data_centre.to_owned();
-        let vm = VmStandin { name: name.to_owned(), data_centre, callers, operators, peers, process };
+        let vm = RunningVm { name: name.to_owned(), data_centre, callers, operators, peers, process };
         self.vms.insert(name.to_owned(), vm);
         Ok(())
     }
 
-    /// Writes a VM's settings; gives their file.
+    /// Writes a VM's settings to a file; returns its path.
     fn write_settings(&self, name: &str, data_centre: &str, ports: VmPorts) -> io::Result<PathBuf> {
         let VmPorts { callers, operators, peers } = ports;
         let [certificate, key, authority] = write_identity(&self.authority, self.folder.path(), name)?;
@@ -342,13 +344,13 @@
         Ok(file)
     }
 
-    /// Starts a daemon, in this process or as one of its own; `AddrInUse` if it cannot listen.
+    /// Starts a daemon in this process or as a child process; fails with `AddrInUse` if it cannot listen.
     async fn launch(&self, file: &Path, ports: VmPorts) -> io::Result<VmProcess> {
         let Some(binary) = &self.plan.binary else {
             let text = std::fs::read_to_string(file)?;
             let settings = Settings::parse("test", &text).map_err(io::Error::other)?;
             return match Daemon::start(settings).await {
-                Ok(daemon) => Ok(VmProcess::Inside(Some(daemon))),
+                Ok(daemon) => Ok(VmProcess::InProcess(Some(daemon))),
                 Err(
                     DaemonError::Listen { cause, .. } | DaemonError::Identity(IdentityError::Listen(cause)),
                 ) => Err(cause),
@@ -361,52 +363,53 @@
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .spawn()?;
-        // A daemon that cannot listen ends at once; one that answers its operators has all its ports.
+        // A daemon that cannot listen exits at once; one that answers its operators listens on all its ports.
         let caller = crate::Caller::new("");
-        let end = tokio::time::Instant::now() + READY_WAIT;
+        let deadline = tokio::time::Instant::now() + READY_TIMEOUT;
         while caller.send(ports.operators, "GET", "/healthz", &[], "").await.is_err() {
             if child.try_wait()?.is_some() {
                 return Err(io::ErrorKind::AddrInUse.into());
             }
-            if tokio::time::Instant::now() >= end {
+            if tokio::time::Instant::now() >= deadline {
                 child.kill()?;
                 return Err(io::ErrorKind::TimedOut.into());
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        Ok(VmProcess::Beside(child))
+        Ok(VmProcess::ChildProcess(child))
     }
 
-    /// Waits until every VM serves and knows the others of its data centre.
+    /// Waits until every VM is ready and sees all VMs of its data centre as live.
     ///
     /// # Errors
-    /// If that takes too long.
+    /// If that takes longer than `READY_TIMEOUT`.
     pub async fn wait_ready(&self) -> io::Result<()> {
         let caller = crate::Caller::new("");
-        let end = tokio::time::Instant::now() + READY_WAIT;
+        let deadline = tokio::time::Instant::now() + READY_TIMEOUT;
         loop {
-            let mut ready = true;
+            let mut all_ready = true;
             for vm in self.vms.values() {
-                let near = self.vms.values().filter(|other| other.data_centre == vm.data_centre).count();
+                let local_count = self.vms.values().filter(|peer| peer.data_centre == vm.data_centre).count();
                 let answer = caller.send(vm.operators, "GET", "/readyz", &[], "").await;
                 let status = self.status(&vm.name).await;
-                let live = |row: &&serde_json::Value| {
+                let is_live_local = |row: &&serde_json::Value| {
                     row["live"] == true && row["data_centre"] == vm.data_centre.as_str()
                 };
-                let known = status["vms"].as_array().map_or(0, |rows| rows.iter().filter(live).count());
-                ready &= answer.is_ok_and(|answer| answer.status == 200) && known == near;
+                let live_count =
+                    status["vms"].as_array().map_or(0, |rows| rows.iter().filter(is_live_local).count());
+                all_ready &= answer.is_ok_and(|answer| answer.status == 200) && live_count == local_count;
             }
-            if ready {
+            if all_ready {
                 return Ok(());
             }
-            if tokio::time::Instant::now() >= end {
+            if tokio::time::Instant::now() >= deadline {
                 return Err(io::Error::other("the deployment does not get ready"));
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// What a VM's `/status` says; null if it does not answer.
+    /// Returns a VM's `/status`; null if it does not answer.
     pub async fn status(&self, name: &str) -> serde_json::Value {
         let caller = crate::Caller::new("");
         let Some(vm) = self.vms.get(name) else { return serde_json::Value::Null };
@@ -414,14 +417,14 @@
         answer.ok().and_then(|answer| serde_json::from_str(&answer.text).ok()).unwrap_or_default()
     }
 
-    /// A VM's `/metrics`.
+    /// Returns a VM's `/metrics`; empty if it does not answer.
     pub async fn metrics(&self, name: &str) -> String {
         let caller = crate::Caller::new("");
         let answer = caller.send(self.vms[name].operators, "GET", "/metrics", &[], "").await;
         answer.map(|answer| answer.text).unwrap_or_default()
     }
 
-    /// A VM's address for callers.
+    /// Returns a VM's address for callers.
     ///
     /// # Panics
     /// If there is no such VM.
@@ -429,7 +432,7 @@
         self.vms[name].callers
     }
 
-    /// A VM's address for operators.
+    /// Returns a VM's address for operators.
     ///
     /// # Panics
     /// If there is no such VM.
@@ -437,7 +440,7 @@
         self.vms[name].operators
     }
 
-    /// A VM's address for peers.
+    /// Returns a VM's address for peers.
     ///
     /// # Panics
     /// If there is no such VM.
@@ -445,23 +448,23 @@
         self.vms[name].peers
     }
 
-    /// The id of a VM's process, if it is one of its own.
+    /// Returns the id of a VM's child process, if it runs in one.
     pub fn process_id(&self, name: &str) -> Option<u32> {
         match &self.vms.get(name)?.process {
-            VmProcess::Beside(child) => Some(child.id()),
-            VmProcess::Inside(_) => None,
+            VmProcess::ChildProcess(child) => Some(child.id()),
+            VmProcess::InProcess(_) => None,
         }
     }
 
-    /// Ends a VM at once, without a word; the VM list still has it.
+    /// Kills a VM without notice; the VM list still contains it.
     pub fn kill_vm(&mut self, name: &str) {
         if let Some(vm) = self.vms.get_mut(name) {
             match &mut vm.process {
-                VmProcess::Beside(child) => {
+                VmProcess::ChildProcess(child) => {
                     let _ = child.kill();
                     let _ = child.wait();
                 }
-                VmProcess::Inside(daemon) => {
+                VmProcess::InProcess(daemon) => {
                     if let Some(daemon) = daemon.take() {
                         daemon.kill();
                     }
@@ -470,14 +473,14 @@
         }
     }
 
-    /// Takes a VM off the list and forgets it.
+    /// Kills a VM and removes it from the VM list.
     pub fn remove_vm(&mut self, name: &str) {
         self.kill_vm(name);
         self.vms.remove(name);
         self.platform.change_vms(|vms| vms.retain(|vm| vm.name != name));
     }
 
-    /// Stops a VM's process, or lets it go on.
+    /// Suspends or resumes a VM's child process.
     pub fn pause_vm(&self, name: &str, paused: bool) {
         let signal = if paused { Signal::SIGSTOP } else { Signal::SIGCONT };
         if let Some(id) = self.process_id(name) {
@@ -485,16 +488,16 @@
         }
     }
 
-    /// Begins a planned stop of a VM and returns when it has ended.
+    /// Stops a VM as planned, waits until it has exited and removes it from the VM list.
     pub async fn stop_vm(&mut self, name: &str) {
         let Some(mut vm) = self.vms.remove(name) else { return };
         match &mut vm.process {
-            VmProcess::Inside(daemon) => {
+            VmProcess::InProcess(daemon) => {
                 if let Some(daemon) = daemon.take() {
                     daemon.stop().await;
                 }
             }
-            VmProcess::Beside(child) => {
+            VmProcess::ChildProcess(child) => {
                 let _ = kill(Pid::from_raw(child.id().cast_signed()), Signal::SIGTERM);
                 while matches!(child.try_wait(), Ok(None)) {
                     tokio::time::sleep(Duration::from_millis(10)).await;
@@ -504,12 +507,12 @@
         self.platform.change_vms(|vms| vms.retain(|vm| vm.name != name));
     }
 
-    /// A VM's log lines, if it is a process of its own.
+    /// Returns the log of a VM that runs in a child process.
     pub fn log_of(&self, name: &str) -> String {
         std::fs::read_to_string(self.folder.path().join(format!("{name}.log"))).unwrap_or_default()
     }
 
-    /// The folder with settings, certificates and logs.
+    /// Returns the folder with settings, certificates and logs.
     pub fn folder(&self) -> &std::path::Path {
         self.folder.path()
     }
@@ -524,13 +527,13 @@
     }
 }
 
-/// A port that nobody listens on, for TCP and UDP alike.
+/// Returns an address whose port is free for both TCP and UDP.
 fn free_port() -> io::Result<SocketAddr> {
-    static NEXT: AtomicU16 = AtomicU16::new(0);
-    let start = (std::process::id() % 1_000) as u16 * 12;
+    static NEXT_OFFSET: AtomicU16 = AtomicU16::new(0);
+    let start_offset = (std::process::id() % 1_000) as u16 * 12;
     for _ in 0..PORT_COUNT {
-        let place = start.wrapping_add(NEXT.fetch_add(1, Ordering::SeqCst)) % PORT_COUNT;
-        let address = SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + place));
+        let port_offset = start_offset.wrapping_add(NEXT_OFFSET.fetch_add(1, Ordering::SeqCst)) % PORT_COUNT;
+        let address = SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + port_offset));
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
             return Ok(address);
         }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,12 +1,12 @@
 //! A stand-in for a model engine.
 //!
-//! It batches, caches prompt prefixes in limited memory, honours priorities piece by piece,
-//! resumes and cancels streams, exports and imports blocks, publishes cache events late and with
-//! gaps, and takes orders. Its answer follows from the blocks that it really holds.
+//! It runs several requests at once, caches prompt prefixes in limited memory, schedules prefill by
+//! priority block by block, resumes and cancels streams, exports and imports blocks, publishes cache
+//! events with a delay and with gaps, and executes orders. Its answer depends on the blocks that it used.
 
-use crate::answer::{PieceState, answer_word, first_state, next_state, render_messages};
+use crate::answer::{PrefixState, answer_token, first_state, next_state, render_messages};
 use crate::engine_cache::{
-    KvImport, Memory, export, find_block, import_blocks, note_event, read_events, store_block,
+    BlockMemory, KvImport, export, find_block, import_blocks, read_events, record_event, store_block,
 };
 use crate::priority_gate::PriorityGate;
 use crate::server::{StandinBody, query_number, read_body, reply, reply_json, serve};
@@ -28,25 +28,25 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Tokens of a byte of prompt.
+/// Bytes of prompt per token.
 const BYTES_PER_TOKEN: usize = 4;
-/// Finished streams kept for resumption.
-const STREAM_MEMORY: usize = 1_024;
-/// Frames sent before a stream is broken on purpose.
-const BREAK_AFTER: usize = 3;
+/// Runs retained for resumption of their streams.
+const MAX_RETAINED_RUNS: usize = 1_024;
+/// Frames sent before a stream fault takes effect.
+const FRAMES_BEFORE_FAULT: usize = 3;
 
-/// How fast an engine works, and what fits into it.
+/// Speed and capacity of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineRates {
     /// Microseconds to compute one prompt token.
     pub prefill_micros: u64,
     /// Microseconds between generated tokens.
     pub decode_micros: u64,
-    /// Pieces that fit into accelerator memory.
+    /// Number of blocks that fit into accelerator memory.
     pub memory_pieces: usize,
-    /// Requests worked on at once.
+    /// Number of requests that run at once.
     pub slots: u32,
-    /// Milliseconds until a cache event can be read.
+    /// Milliseconds until a cache event becomes readable.
     pub event_lag_millis: u64,
 }
 
@@ -56,12 +56,12 @@
     }
 }
 
-/// Runs by stream id, and the ids in the order in which they began.
-type RunMemory = (HashMap<String, Arc<Run>>, VecDeque<String>);
+/// Runs by stream id, and the ids in the order of their start.
+type RunHistory = (HashMap<String, Arc<EngineRun>>, VecDeque<String>);
 
-/// One run, whose frames can be read again.
+/// One run of a request, with its frames retained for resumption.
 #[derive(Debug)]
-struct Run {
+struct EngineRun {
     frames: Mutex<Vec<Bytes>>,
     progress: watch::Sender<(usize, bool)>,
     cancelled: watch::Sender<bool>,
@@ -69,9 +69,9 @@
 
 #[derive(Debug, Default, Clone, Copy)]
 struct RunUsage {
-    cached: usize,
-    imported: usize,
-    computed: usize,
+    cached_bytes: usize,
+    imported_bytes: usize,
+    computed_bytes: usize,
     import_micros: u64,
     compute_micros: u64,
 }
@@ -80,12 +80,12 @@
 pub(crate) struct EngineState {
     pub rates: EngineRates,
     version: Mutex<String>,
-    pub memory: Mutex<Memory>,
+    pub memory: Mutex<BlockMemory>,
     prefill: PriorityGate,
     slots: PriorityGate,
     running: AtomicU64,
-    runs: Mutex<RunMemory>,
-    started: Mutex<Vec<String>>,
+    runs: Mutex<RunHistory>,
+    started_stream_ids: Mutex<Vec<String>>,
     fencing: Option<Mutex<u64>>,
     orders: Mutex<Vec<Value>>,
     faults: Arc<FaultSwitch>,
@@ -93,7 +93,7 @@
     computed_tokens: AtomicU64,
     prompt_tokens: AtomicU64,
     load_millis: AtomicU64,
-    loading: AtomicU64,
+    loads_in_progress: AtomicU64,
 }
 
 /// A running engine stand-in.
@@ -105,7 +105,7 @@
 }
 
 #[derive(Deserialize)]
-struct KvPart {
+struct KvRequest {
     #[serde(default)]
     keys: Vec<String>,
     #[serde(default)]
@@ -130,7 +130,7 @@
     stream_id: String,
     #[serde(default)]
     continue_from: String,
-    kv: Option<KvPart>,
+    kv: Option<KvRequest>,
 }
 
 const fn default_tokens() -> u32 {
@@ -138,7 +138,7 @@
 }
 
 impl EngineStandin {
-    /// Starts an engine on `address` with weight `version`; a fenced one refuses old fencing numbers.
+    /// Starts an engine with weight `version`; a `fenced` one refuses outdated fencing numbers.
     ///
     /// # Errors
     /// If the address cannot be listened on.
@@ -157,7 +157,7 @@
             slots: PriorityGate::new(rates.slots),
             running: AtomicU64::new(0),
             runs: Mutex::default(),
-            started: Mutex::default(),
+            started_stream_ids: Mutex::default(),
             fencing: fenced.then(|| Mutex::new(0)),
             orders: Mutex::default(),
             faults: Arc::clone(&faults),
@@ -165,7 +165,7 @@
             computed_tokens: AtomicU64::new(0),
             prompt_tokens: AtomicU64::new(0),
             load_millis: AtomicU64::new(0),
-            loading: AtomicU64::new(0),
+            loads_in_progress: AtomicU64::new(0),
         });
         let shared = Arc::clone(&state);
         let (address, task) =
@@ -173,63 +173,63 @@
         Ok(Self { state, address, task })
     }
 
-    /// Its address.
+    /// Returns the address at which it listens.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its faults.
+    /// Returns the switch for its faults.
     pub fn faults(&self) -> &FaultSwitch {
         &self.state.faults
     }
 
-    /// Prompt tokens that it computed, and prompt tokens that it was sent.
+    /// Returns the numbers of prompt tokens that it computed and that it received.
     pub fn tokens(&self) -> (u64, u64) {
         (self.state.computed_tokens.load(Ordering::SeqCst), self.state.prompt_tokens.load(Ordering::SeqCst))
     }
 
-    /// Stream ids of all runs, in the order in which they began.
+    /// Returns the stream ids of all runs, in the order of their start.
     pub fn started(&self) -> Vec<String> {
-        lock(&self.state.started).clone()
+        lock(&self.state.started_stream_ids).clone()
     }
 
-    /// Orders that it obeyed.
+    /// Returns the orders that it executed.
     pub fn orders(&self) -> Vec<Value> {
         lock(&self.state.orders).clone()
     }
 
-    /// Forgets all blocks, as a long time of other work would; publishes no event if `silent`.
-    pub fn forget(&self, silent: bool) {
+    /// Evicts all blocks, as prolonged other work would; publishes no cache events if `without_events`.
+    pub fn forget(&self, without_events: bool) {
         let mut memory = lock(&self.state.memory);
         let keys: Vec<String> = memory.blocks.drain().map(|(key, _)| key).collect();
-        if !silent {
+        if !without_events {
             for key in keys {
-                note_event(&mut memory, "evicted", &key);
+                record_event(&mut memory, "evicted", &key);
             }
         }
     }
 
-    /// Makes each ordered load take `millis`.
+    /// Sets the time that each ordered load of weights takes.
     pub fn load_for(&self, millis: u64) {
         self.state.load_millis.store(millis, Ordering::SeqCst);
     }
 
-    /// Whether it loads weights now.
+    /// Returns whether it is loading weights.
     pub fn is_loading(&self) -> bool {
-        self.state.loading.load(Ordering::SeqCst) > 0
+        self.state.loads_in_progress.load(Ordering::SeqCst) > 0
     }
 
-    /// The weight version that is loaded.
+    /// Returns the loaded weight version.
     pub fn version(&self) -> String {
         lock(&self.state.version).clone()
     }
 
-    /// Loads another weight version.
+    /// Replaces the loaded weight version at once.
     pub fn load_version(&self, version: &str) {
         version.clone_into(&mut lock(&self.state.version));
     }
 
-    /// Stops it at once, as a kill would: connections are cut.
+    /// Stops it at once, as a kill would; its connections are cut.
     pub fn kill(&self) {
         self.state.faults.cut(true);
         self.task.abort();
@@ -252,16 +252,16 @@
         (&Method::POST, "/v1/completions") => complete(state, request, false).await,
         (&Method::POST, "/v1/chat/completions") => complete(state, request, true).await,
         (&Method::GET, "/healthz") => {
-            let leaving = state.is_away();
-            reply(if leaving { 503 } else { 200 }, if leaving { "leaving\n" } else { "ok\n" })
+            let is_departing = state.refuses_work();
+            reply(if is_departing { 503 } else { 200 }, if is_departing { "leaving\n" } else { "ok\n" })
         }
-        (&Method::GET, "/metrics") => reply(200, load_text(&state)),
+        (&Method::GET, "/metrics") => reply(200, metrics_text(&state)),
         (&Method::GET, "/kv/events") => {
             let after = query_number(&request, "after").unwrap_or(0);
             reply_json(&read_events(&state, after))
         }
         (&Method::POST, "/kv/export") => export(state, request).await,
-        (&Method::POST, "/orders") => order(&state, request).await,
+        (&Method::POST, "/orders") => execute_order(&state, request).await,
         (method, path) => match (method, path.strip_prefix("/v1/streams/")) {
             (&Method::GET, Some(id)) => {
                 let from = query_number(&request, "from").unwrap_or(0) as usize;
@@ -281,8 +281,8 @@
     }
 }
 
-/// Readiness, load, and the number of the last readable cache event.
-fn load_text(state: &EngineState) -> String {
+/// Returns readiness, load and the number of the last readable cache event as metrics.
+fn metrics_text(state: &EngineState) -> String {
     let lag = Duration::from_millis(state.rates.event_lag_millis);
     let sequence = {
         let memory = lock(&state.memory);
@@ -296,109 +296,109 @@
     format!(
         "engine_ready {}\nengine_running {}\nengine_waiting {}\nengine_cache_sequence {sequence}\n\
          engine_version {}\nengine_loading {}\n",
-        u8::from(!state.is_away()),
+        u8::from(!state.refuses_work()),
         state.running.load(Ordering::SeqCst),
         state.slots.waiting() + state.prefill.waiting(),
         lock(&state.version),
-        u8::from(state.loading.load(Ordering::SeqCst) > 0),
+        u8::from(state.loads_in_progress.load(Ordering::SeqCst) > 0),
     )
 }
 
 impl EngineState {
-    /// Whether it takes no new work: it leaves, or it loads weights.
-    fn is_away(&self) -> bool {
-        self.faults.is_departing() || self.loading.load(Ordering::SeqCst) > 0
+    /// Returns whether it takes no new work, since it is departing or loading weights.
+    fn refuses_work(&self) -> bool {
+        self.faults.is_departing() || self.loads_in_progress.load(Ordering::SeqCst) > 0
     }
 }
 
 async fn complete(state: Arc<EngineState>, request: Request<Incoming>, chat: bool) -> Response<StandinBody> {
-    if state.is_away() {
+    if state.refuses_work() {
         return reply(503, "leaving\n");
     }
     let Some(body) = read_body(request).await else { return reply(400, "broken body\n") };
-    let mut asked: RunRequest = match serde_json::from_slice(&body) {
-        Ok(asked) => asked,
+    let mut run_request: RunRequest = match serde_json::from_slice(&body) {
+        Ok(run_request) => run_request,
         Err(error) => return reply(400, error.to_string()),
     };
     if chat {
-        asked.prompt = render_messages(&asked.messages);
+        run_request.prompt = render_messages(&run_request.messages);
     }
     let version = lock(&state.version).clone();
-    if !asked.version.is_empty() && asked.version != version {
+    if !run_request.version.is_empty() && run_request.version != version {
         return reply(409, format!("weight version {version} is loaded\n"));
     }
-    let id = if asked.stream_id.is_empty() {
-        format!("run-{}", lock(&state.started).len())
+    let id = if run_request.stream_id.is_empty() {
+        format!("run-{}", lock(&state.started_stream_ids).len())
     } else {
-        asked.stream_id.clone()
+        run_request.stream_id.clone()
     };
-    lock(&state.started).push(id.clone());
+    lock(&state.started_stream_ids).push(id.clone());
     let (progress, _) = watch::channel((0, false));
     let (cancelled, _) = watch::channel(false);
-    let run = Arc::new(Run { frames: Mutex::default(), progress, cancelled });
-    remember_run(&state, id, &run);
+    let run = Arc::new(EngineRun { frames: Mutex::default(), progress, cancelled });
+    retain_run(&state, id, &run);
     let (usage_sender, usage) = tokio::sync::oneshot::channel();
-    tokio::spawn(work(Arc::clone(&state), Arc::clone(&run), asked, version, chat, usage_sender));
+    tokio::spawn(execute_run(Arc::clone(&state), Arc::clone(&run), run_request, version, chat, usage_sender));
     match usage.await {
         Ok(usage) => stream_response(run, 0, usage, &state.faults),
         Err(_) => reply(500, "cancelled\n"),
     }
 }
 
-fn remember_run(state: &EngineState, id: String, run: &Arc<Run>) {
+fn retain_run(state: &EngineState, id: String, run: &Arc<EngineRun>) {
     let mut runs = lock(&state.runs);
     runs.0.insert(id.clone(), Arc::clone(run));
     runs.1.push_back(id);
-    if runs.1.len() > STREAM_MEMORY
-        && let Some(old) = runs.1.pop_front()
+    if runs.1.len() > MAX_RETAINED_RUNS
+        && let Some(oldest_id) = runs.1.pop_front()
     {
-        runs.0.remove(&old);
+        runs.0.remove(&oldest_id);
     }
 }
 
-/// Prefill, then decode; frames are kept so that the stream can be resumed.
-async fn work(
+/// Runs prefill, then decode; retains the frames so that the stream can be resumed.
+async fn execute_run(
     state: Arc<EngineState>,
-    run: Arc<Run>,
-    asked: RunRequest,
+    run: Arc<EngineRun>,
+    run_request: RunRequest,
     version: String,
     chat: bool,
-    usage: tokio::sync::oneshot::Sender<RunUsage>,
+    usage_sender: tokio::sync::oneshot::Sender<RunUsage>,
 ) {
-    let _slot = state.slots.enter(asked.priority).await;
+    let _slot = state.slots.enter(run_request.priority).await;
     state.running.fetch_add(1, Ordering::SeqCst);
-    let (prompt_state, used) = prefill(&state, &asked, &version).await;
-    state.prompt_tokens.fetch_add((asked.prompt.len() / BYTES_PER_TOKEN) as u64, Ordering::SeqCst);
-    state.computed_tokens.fetch_add((used.computed / BYTES_PER_TOKEN) as u64, Ordering::SeqCst);
-    let _ = usage.send(used);
-    let said = asked.continue_from.split_whitespace().count() as u32;
-    let decode = Duration::from_micros(state.rates.decode_micros);
-    let mut next = tokio::time::Instant::now();
-    for place in said..asked.max_tokens {
+    let (prompt_state, usage) = prefill(&state, &run_request, &version).await;
+    state.prompt_tokens.fetch_add((run_request.prompt.len() / BYTES_PER_TOKEN) as u64, Ordering::SeqCst);
+    state.computed_tokens.fetch_add((usage.computed_bytes / BYTES_PER_TOKEN) as u64, Ordering::SeqCst);
+    let _ = usage_sender.send(usage);
+    let answered_tokens = run_request.continue_from.split_whitespace().count() as u32;
+    let decode_interval = Duration::from_micros(state.rates.decode_micros);
+    let mut next_token_at = tokio::time::Instant::now();
+    for index in answered_tokens..run_request.max_tokens {
         if *run.cancelled.borrow() {
             break;
         }
-        let last = place + 1 == asked.max_tokens;
-        push_frame(&run, &token_frame(answer_word(&prompt_state, place), last, chat));
-        next += decode;
-        tokio::time::sleep_until(next).await;
+        let is_last = index + 1 == run_request.max_tokens;
+        push_frame(&run, &token_frame(answer_token(&prompt_state, index), is_last, chat));
+        next_token_at += decode_interval;
+        tokio::time::sleep_until(next_token_at).await;
     }
     push_frame(&run, "[DONE]");
     run.progress.send_modify(|(_, done)| *done = true);
     state.running.fetch_sub(1, Ordering::SeqCst);
 }
 
-fn token_frame(word: &str, last: bool, chat: bool) -> String {
-    let reason = if last { json!("length") } else { Value::Null };
+fn token_frame(token: &str, is_last: bool, chat: bool) -> String {
+    let reason = if is_last { json!("length") } else { Value::Null };
     let choice = if chat {
-        json!({ "index": 0, "delta": { "content": format!("{word} ") }, "finish_reason": reason })
+        json!({ "index": 0, "delta": { "content": format!("{token} ") }, "finish_reason": reason })
     } else {
-        json!({ "index": 0, "text": format!("{word} "), "finish_reason": reason })
+        json!({ "index": 0, "text": format!("{token} "), "finish_reason": reason })
     };
     json!({ "choices": [choice] }).to_string()
 }
 
-fn push_frame(run: &Run, data: &str) {
+fn push_frame(run: &EngineRun, data: &str) {
     let count = {
         let mut frames = lock(&run.frames);
         let id = frames.len();
@@ -408,84 +408,84 @@
     run.progress.send_modify(|(ready, _)| *ready = count);
 }
 
-async fn prefill(state: &EngineState, asked: &RunRequest, version: &str) -> (PieceState, RunUsage) {
+async fn prefill(state: &EngineState, run_request: &RunRequest, version: &str) -> (PrefixState, RunUsage) {
     let mut usage = RunUsage::default();
-    let mut now = first_state(&asked.cache_salt, version);
-    let keys = asked.kv.as_ref().map_or(&[][..], |kv| kv.keys.as_slice());
-    let import = asked.kv.as_ref().map_or(&[][..], |kv| kv.import.as_slice());
-    let begun = Instant::now();
+    let mut prefix_state = first_state(&run_request.cache_salt, version);
+    let keys = run_request.kv.as_ref().map_or(&[][..], |kv| kv.keys.as_slice());
+    let import = run_request.kv.as_ref().map_or(&[][..], |kv| kv.import.as_slice());
+    let started_at = Instant::now();
     let imported = import_blocks(state, import).await;
     if !imported.is_empty() {
-        usage.import_micros = begun.elapsed().as_micros() as u64;
+        usage.import_micros = started_at.elapsed().as_micros() as u64;
     }
-    let (mut whole, mut prefix_known) = (true, true);
-    for (place, piece) in asked.prompt.as_bytes().chunks(PIECE_BYTES).enumerate() {
-        let key = keys.get(place).filter(|_| piece.len() == PIECE_BYTES);
-        let known = key.filter(|_| whole).and_then(|key| find_block(state, key));
-        let fetched = key.filter(|_| whole).and_then(|key| imported.get(key).copied());
-        if let Some(known) = known {
-            usage.cached += piece.len();
-            now = known;
+    let (mut none_missing, mut none_computed) = (true, true);
+    for (index, block) in run_request.prompt.as_bytes().chunks(PIECE_BYTES).enumerate() {
+        let key = keys.get(index).filter(|_| block.len() == PIECE_BYTES);
+        let cached = key.filter(|_| none_missing).and_then(|key| find_block(state, key));
+        let fetched = key.filter(|_| none_missing).and_then(|key| imported.get(key).copied());
+        if let Some(cached) = cached {
+            usage.cached_bytes += block.len();
+            prefix_state = cached;
         } else if let Some(fetched) = fetched {
-            usage.imported += piece.len();
-            now = fetched;
+            usage.imported_bytes += block.len();
+            prefix_state = fetched;
         } else {
-            whole = false;
-            let _turn = state.prefill.enter(asked.priority).await;
-            // Another run may have computed it while this one waited its turn.
-            if let Some(known) = key.filter(|_| prefix_known).and_then(|key| find_block(state, key)) {
-                usage.cached += piece.len();
-                now = known;
+            none_missing = false;
+            let _permit = state.prefill.enter(run_request.priority).await;
+            // Another run may have computed the block while this one waited.
+            if let Some(cached) = key.filter(|_| none_computed).and_then(|key| find_block(state, key)) {
+                usage.cached_bytes += block.len();
+                prefix_state = cached;
                 continue;
             }
-            prefix_known = false;
-            let micros = (piece.len() / BYTES_PER_TOKEN) as u64 * state.rates.prefill_micros;
+            none_computed = false;
+            let micros = (block.len() / BYTES_PER_TOKEN) as u64 * state.rates.prefill_micros;
             tokio::time::sleep(Duration::from_micros(micros)).await;
-            usage.computed += piece.len();
+            usage.computed_bytes += block.len();
             usage.compute_micros += micros;
-            now = next_state(&now, piece);
+            prefix_state = next_state(&prefix_state, block);
         }
         if let Some(key) = key {
-            store_block(state, key, now);
+            store_block(state, key, prefix_state);
         }
     }
-    (now, usage)
+    (prefix_state, usage)
 }
 
-async fn order(state: &Arc<EngineState>, request: Request<Incoming>) -> Response<StandinBody> {
+async fn execute_order(state: &Arc<EngineState>, request: Request<Incoming>) -> Response<StandinBody> {
     let Some(body) = read_body(request).await else { return reply(400, "broken body\n") };
     let order: Value = serde_json::from_slice(&body).unwrap_or_default();
     if let Some(fencing) = &state.fencing {
-        let number = order["fencing"].as_u64().unwrap_or(0);
+        let fencing_number = order["fencing"].as_u64().unwrap_or(0);
         let mut highest = lock(fencing);
-        if number < *highest {
+        if fencing_number < *highest {
             return reply(412, format!("fencing number {highest} was seen\n"));
         }
-        *highest = number;
+        *highest = fencing_number;
     }
     let target = order["target"].as_str().unwrap_or_default().to_owned();
     if order["kind"] == "load-version" && *lock(&state.version) != target {
-        state.loading.fetch_add(1, Ordering::SeqCst);
+        state.loads_in_progress.fetch_add(1, Ordering::SeqCst);
         let state = Arc::clone(state);
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(state.load_millis.load(Ordering::SeqCst))).await;
             *lock(&state.version) = target;
-            state.loading.fetch_sub(1, Ordering::SeqCst);
+            state.loads_in_progress.fetch_sub(1, Ordering::SeqCst);
         });
     }
     lock(&state.orders).push(order);
     reply(200, "done\n")
 }
 
-/// Streams the frames of `run` from number `from` on.
+/// Returns a stream of the frames of `run` from number `from`.
 fn stream_response(
-    run: Arc<Run>,
+    run: Arc<EngineRun>,
     from: usize,
     usage: RunUsage,
     faults: &FaultSwitch,
 ) -> Response<StandinBody> {
     let (broken, scrambled, stalled) =
-        (faults.takes_stream_break(), faults.takes_scramble(), faults.takes_stall());
+        (faults.consume_stream_break(), faults.consume_scramble(), faults.consume_stall());
     let progress = run.progress.subscribe();
     let (sender, receiver) = tokio::sync::mpsc::channel::<Bytes>(64);
     tokio::spawn(async move {
@@ -494,18 +494,18 @@
         loop {
             let (ready, done) = *progress.borrow_and_update();
             while sent < ready {
-                if broken && sent >= from + BREAK_AFTER {
+                if broken && sent >= from + FRAMES_BEFORE_FAULT {
                     return;
                 }
-                if stalled && sent >= from + BREAK_AFTER {
+                if stalled && sent >= from + FRAMES_BEFORE_FAULT {
                     sender.closed().await;
                     return;
                 }
                 let frame = lock(&run.frames)[sent].clone();
-                if scrambled && sent == from + BREAK_AFTER {
-                    // The event before comes again, and this one not at all.
-                    let again = lock(&run.frames)[sent - 1].clone();
-                    let _ = sender.send(again).await;
+                if scrambled && sent == from + FRAMES_BEFORE_FAULT {
+                    // Repeats the previous event and omits this one.
+                    let previous = lock(&run.frames)[sent - 1].clone();
+                    let _ = sender.send(previous).await;
                     sent += 1;
                     continue;
                 }
@@ -523,9 +523,9 @@
     let tokens = |bytes: usize| bytes / BYTES_PER_TOKEN;
     let header = format!(
         "cached={},imported={},computed={},import_us={},compute_us={}",
-        tokens(usage.cached),
-        tokens(usage.imported),
-        tokens(usage.computed),
+        tokens(usage.cached_bytes),
+        tokens(usage.imported_bytes),
+        tokens(usage.computed_bytes),
         usage.import_micros,
         usage.compute_micros
     );
@@ -536,7 +536,7 @@
         .unwrap_or_else(|_| reply(500, ""))
 }
 
-/// Frames as they come out of a channel.
+/// Body frames received from a channel.
 pub(crate) struct ReceiverStream(pub(crate) tokio::sync::mpsc::Receiver<Bytes>);
 
 impl futures_core::Stream for ReceiverStream {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,14 +1,15 @@
-//! Small stand-ins for what spanfold meets: the platform, engines, stores and plain services.
+//! Small stand-ins for the outside systems of spanfold: the platform, engines, stores and plain services.
 //!
-//! Each speaks the interface of `docs/INTERFACES.md`, nothing more, and can be slowed, cut, frozen
-//! or made to lose replies with a [`FaultSwitch`]. No shipped binary depends on this package.
+//! Each implements the interface of `docs/INTERFACES.md`, nothing more. A [`FaultSwitch`] delays its
+//! requests, cuts its connections, leaves requests unanswered or loses replies. No shipped binary depends
+//! on this package.
 //!
-//! - [`EngineStandin`] answers as a function of the blocks it really holds; [`expected_answer`]
-//!   tells the right answer, so a wrong block is a visibly wrong answer.
-//! - [`StoreStandin`] keeps blocks behind a limited link.
+//! - [`EngineStandin`] derives its answer from the cached blocks that it used. [`expected_answer`]
+//!   returns the right answer, so the use of a wrong block shows as a wrong answer.
+//! - [`StoreStandin`] stores blocks behind a link of limited speed.
 //! - [`ServiceStandin`] counts how often each call ran.
 //! - [`PlatformStandin`] is the key-value service and the VM list.
-//! - [`Deployment`] puts them together with daemons, in this process or beside it.
+//! - [`Deployment`] runs all of these and daemons, in this process or as child processes.
 
 mod answer;
 mod authority;
@@ -24,9 +25,9 @@
 mod store;
 
 pub use answer::{PIECE_BYTES, expected_answer, render_messages};
-pub use authority::{Authority, write_identity};
+pub use authority::{CertificateAuthority, write_identity};
 pub use caller::{Answer, Caller, CallerError};
-pub use deployment::{Deployment, DeploymentPlan, EnginePlan, START_TRIES, StorePlan, VmPorts};
+pub use deployment::{Deployment, DeploymentPlan, EnginePlan, MAX_START_ATTEMPTS, StorePlan, VmPorts};
 pub use engine::{EngineRates, EngineStandin};
 pub use fault::FaultSwitch;
 pub use platform::PlatformStandin;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -18,14 +18,14 @@
 use tokio::sync::watch;
 
 #[derive(Debug, Default, Clone)]
-struct Shelf {
+struct KeyValueTable {
     values: BTreeMap<String, (String, u64)>,
     revision: u64,
 }
 
 #[derive(Debug)]
 struct PlatformState {
-    shelf: Mutex<Shelf>,
+    table: Mutex<KeyValueTable>,
     revision: watch::Sender<u64>,
     vms: Mutex<Vec<PlatformVm>>,
     writes: AtomicU64,
@@ -44,13 +44,13 @@
 }
 
 impl PlatformStandin {
-    /// Starts the key-value service and the VM list on these addresses.
+    /// Starts the key-value service and the VM list.
     ///
     /// # Errors
     /// If an address cannot be listened on.
     pub async fn start(key_value: SocketAddr, vm_list: SocketAddr) -> std::io::Result<Self> {
         let state = Arc::new(PlatformState {
-            shelf: Mutex::default(),
+            table: Mutex::default(),
             revision: watch::channel(0).0,
             vms: Mutex::default(),
             writes: AtomicU64::new(0),
@@ -60,32 +60,39 @@
         let list_faults = Arc::new(FaultSwitch::default());
         let shared = Arc::clone(&state);
         let handler = move |request| handle(Arc::clone(&shared), request);
-        let (key_value, first) = serve(key_value, Arc::clone(&key_value_faults), handler).await?;
+        let (key_value, key_value_task) = serve(key_value, Arc::clone(&key_value_faults), handler).await?;
         let shared = Arc::clone(&state);
         let handler = move |_| {
             let vms = lock(&shared.vms).clone();
             async move { reply_json(&json!({ "vms": vms })) }
         };
-        let (vm_list, second) = serve(vm_list, Arc::clone(&list_faults), handler).await?;
-        Ok(Self { state, key_value, vm_list, key_value_faults, list_faults, tasks: [first, second] })
+        let (vm_list, list_task) = serve(vm_list, Arc::clone(&list_faults), handler).await?;
+        Ok(Self {
+            state,
+            key_value,
+            vm_list,
+            key_value_faults,
+            list_faults,
+            tasks: [key_value_task, list_task],
+        })
     }
 
-    /// Address of the key-value service.
+    /// Returns the address of the key-value service.
     pub const fn key_value(&self) -> SocketAddr {
         self.key_value
     }
 
-    /// Address of the VM list.
+    /// Returns the address of the VM list.
     pub const fn vm_list(&self) -> SocketAddr {
         self.vm_list
     }
 
-    /// Faults of the key-value service.
+    /// Returns the switch for faults of the key-value service.
     pub fn faults(&self) -> &FaultSwitch {
         &self.key_value_faults
     }
 
-    /// Faults of the VM list.
+    /// Returns the switch for faults of the VM list.
     pub fn list_faults(&self) -> &FaultSwitch {
         &self.list_faults
     }
@@ -95,28 +102,28 @@
         *lock(&self.state.vms) = vms;
     }
 
-    /// Changes the VM list.
+    /// Applies `change` to the VM list.
     pub fn change_vms(&self, change: impl FnOnce(&mut Vec<PlatformVm>)) {
         change(&mut lock(&self.state.vms));
     }
 
-    /// Writes taken and reads answered.
+    /// Returns the numbers of writes and reads that it received.
     pub fn call_counts(&self) -> (u64, u64) {
         (self.state.writes.load(Ordering::SeqCst), self.state.reads.load(Ordering::SeqCst))
     }
 
-    /// All that the key-value service holds now, to be put back with [`Self::roll_back`].
+    /// Returns the content of the key-value service, for [`Self::roll_back`].
     pub fn snapshot(&self) -> BTreeMap<String, (String, u64)> {
-        lock(&self.state.shelf).values.clone()
+        lock(&self.state.table).values.clone()
     }
 
-    /// Puts an older content back; revisions go on growing.
+    /// Restores an earlier content; revisions continue to grow.
     pub fn roll_back(&self, snapshot: BTreeMap<String, (String, u64)>) {
-        let mut shelf = lock(&self.state.shelf);
-        shelf.revision += 1;
-        shelf.values = snapshot;
-        let revision = shelf.revision;
-        for value in shelf.values.values_mut() {
+        let mut table = lock(&self.state.table);
+        table.revision += 1;
+        table.values = snapshot;
+        let revision = table.revision;
+        for value in table.values.values_mut() {
             value.1 = revision;
         }
         self.state.revision.send_replace(revision);
@@ -142,11 +149,11 @@
     match path.as_str() {
         "/v3/kv/range" => {
             state.reads.fetch_add(1, Ordering::SeqCst);
-            reply_json(&range(&lock(&state.shelf), &body))
+            reply_json(&range(&lock(&state.table), &body))
         }
         "/v3/kv/put" => {
             state.writes.fetch_add(1, Ordering::SeqCst);
-            put(&state, &mut lock(&state.shelf), &body);
+            put(&state, &mut lock(&state.table), &body);
             reply_json(&json!({}))
         }
         "/v3/kv/txn" => {
@@ -167,14 +174,14 @@
     value.as_str().and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-fn range(shelf: &Shelf, body: &Value) -> Value {
+fn range(table: &KeyValueTable, body: &Value) -> Value {
     let start = decode(&body["key"]);
     let end = if body["range_end"].is_null() { format!("{start}\0") } else { decode(&body["range_end"]) };
     let limit = match number(&body["limit"]) {
         0 => usize::MAX,
         limit => limit as usize,
     };
-    let rows: Vec<Value> = shelf
+    let rows: Vec<Value> = table
         .values
         .range(start..end)
         .take(limit)
@@ -186,39 +193,43 @@
     json!({ "kvs": rows })
 }
 
-fn put(state: &PlatformState, shelf: &mut Shelf, body: &Value) {
-    shelf.revision += 1;
-    let revision = shelf.revision;
-    shelf.values.insert(decode(&body["key"]), (decode(&body["value"]), revision));
+fn put(state: &PlatformState, table: &mut KeyValueTable, body: &Value) {
+    table.revision += 1;
+    let revision = table.revision;
+    table.values.insert(decode(&body["key"]), (decode(&body["value"]), revision));
     state.revision.send_replace(revision);
 }
 
 fn transact(state: &PlatformState, body: &Value) -> Value {
-    let mut shelf = lock(&state.shelf);
-    let holds = body["compare"].as_array().map_or(&[][..], Vec::as_slice).iter().all(|compare| {
-        let standing = shelf.values.get(&decode(&compare["key"])).map_or(0, |(_, revision)| *revision);
-        standing == number(&compare["mod_revision"])
+    let mut table = lock(&state.table);
+    let comparisons_hold = body["compare"].as_array().map_or(&[][..], Vec::as_slice).iter().all(|compare| {
+        let current_revision =
+            table.values.get(&decode(&compare["key"])).map_or(0, |(_, revision)| *revision);
+        current_revision == number(&compare["mod_revision"])
     });
-    if holds {
-        for step in body["success"].as_array().map_or(&[][..], Vec::as_slice) {
-            put(state, &mut shelf, &step["request_put"]);
+    if comparisons_hold {
+        for operation in body["success"].as_array().map_or(&[][..], Vec::as_slice) {
+            put(state, &mut table, &operation["request_put"]);
         }
         return json!({ "succeeded": true, "responses": [{}] });
     }
     json!({ "succeeded": false,
-            "responses": [{ "response_range": range(&shelf, &body["failure"][0]["request_range"]) }] })
+            "responses": [{ "response_range": range(&table, &body["failure"][0]["request_range"]) }] })
 }
 
 fn watch_key(state: &Arc<PlatformState>, body: &Value) -> Response<StandinBody> {
     let create = &body["create_request"];
-    let (key, from) = (decode(&create["key"]), number(&create["start_revision"]));
+    let (key, from_revision) = (decode(&create["key"]), number(&create["start_revision"]));
     let (sender, receiver) = tokio::sync::mpsc::channel(8);
     let state = Arc::clone(state);
     tokio::spawn(async move {
         let mut revision = state.revision.subscribe();
         let _ = sender.send(Bytes::from("{\"result\":{\"created\":true}}\n")).await;
         loop {
-            let changed = lock(&state.shelf).values.get(&key).is_some_and(|(_, at)| *at >= from);
+            let changed = lock(&state.table)
+                .values
+                .get(&key)
+                .is_some_and(|(_, modified_revision)| *modified_revision >= from_revision);
             if changed {
                 let _ = sender.send(Bytes::from("{\"result\":{\"events\":[{\"type\":\"PUT\"}]}}\n")).await;
                 return;
--- a/crates/standin/src/priority_gate.rs
+++ b/crates/standin/src/priority_gate.rs
@@ -1,76 +1,76 @@
-//! A counting gate that lets the highest priority through first.
+//! A semaphore that admits waiters by priority.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::oneshot;
 
-type Line = BTreeMap<(std::cmp::Reverse<i64>, u64), oneshot::Sender<GatePass>>;
+type WaitingQueue = BTreeMap<(std::cmp::Reverse<i64>, u64), oneshot::Sender<GatePermit>>;
 
 #[derive(Debug, Default)]
 struct GateState {
-    free: u32,
+    free_slots: u32,
     arrivals: u64,
-    line: Line,
+    queue: WaitingQueue,
 }
 
-/// A gate with a number of places; those who wait are let in by priority, then by arrival.
+/// A gate with a number of slots; waiters are admitted by priority, then by order of arrival.
 #[derive(Clone, Debug)]
 pub(crate) struct PriorityGate(Arc<Mutex<GateState>>);
 
-/// A place behind the gate, given back when dropped.
+/// A slot of the gate, released when dropped.
 #[derive(Debug)]
-pub(crate) struct GatePass(Option<PriorityGate>);
+pub(crate) struct GatePermit(Option<PriorityGate>);
 
 impl PriorityGate {
-    pub(crate) fn new(places: u32) -> Self {
-        Self(Arc::new(Mutex::new(GateState { free: places, ..GateState::default() })))
+    pub(crate) fn new(slots: u32) -> Self {
+        Self(Arc::new(Mutex::new(GateState { free_slots: slots, ..GateState::default() })))
     }
 
-    pub(crate) async fn enter(&self, priority: i64) -> GatePass {
+    pub(crate) async fn enter(&self, priority: i64) -> GatePermit {
         let receiver = {
             let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-            if state.free > 0 && state.line.is_empty() {
-                state.free -= 1;
-                return GatePass(Some(self.clone()));
+            if state.free_slots > 0 && state.queue.is_empty() {
+                state.free_slots -= 1;
+                return GatePermit(Some(self.clone()));
             }
             let (sender, receiver) = oneshot::channel();
             state.arrivals += 1;
-            let place = (std::cmp::Reverse(priority), state.arrivals);
-            state.line.insert(place, sender);
+            let position = (std::cmp::Reverse(priority), state.arrivals);
+            state.queue.insert(position, sender);
             receiver
         };
-        receiver.await.unwrap_or(GatePass(None))
+        receiver.await.unwrap_or(GatePermit(None))
     }
 
     pub(crate) fn waiting(&self) -> usize {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).line.len()
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).queue.len()
     }
 
-    fn leave(&self) {
-        let mut pass = GatePass(Some(self.clone()));
+    fn release(&self) {
+        let mut permit = GatePermit(Some(self.clone()));
         loop {
-            let next = {
+            let waiter = {
                 let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-                let Some((_, next)) = state.line.pop_first() else {
-                    state.free += 1;
-                    pass.0 = None;
+                let Some((_, waiter)) = state.queue.pop_first() else {
+                    state.free_slots += 1;
+                    permit.0 = None;
                     return;
                 };
-                next
+                waiter
             };
-            // One who has gone away gives the pass back.
-            match next.send(pass) {
+            // A waiter that was dropped returns the permit; the next one gets it.
+            match waiter.send(permit) {
                 Ok(()) => return,
-                Err(back) => pass = back,
+                Err(returned) => permit = returned,
             }
         }
     }
 }
 
-impl Drop for GatePass {
+impl Drop for GatePermit {
     fn drop(&mut self) {
         if let Some(gate) = self.0.take() {
-            gate.leave();
+            gate.release();
         }
     }
 }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -14,12 +14,12 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Paths that only look at something.
-const LOOKS: [&str; 5] = ["/healthz", "/metrics", "/kv/events", "/v3/kv/range", "/v3/watch"];
+/// Paths whose replies are never lost, since the requests have no effect.
+const READ_ONLY_PATHS: [&str; 5] = ["/healthz", "/metrics", "/kv/events", "/v3/kv/range", "/v3/watch"];
 
 pub(crate) type StandinBody = BoxBody<Bytes, Infallible>;
 
-/// Serves `handle` on `address` (port zero picks a free one) until the returned task is aborted.
+/// Serves `handle` on `address` until the returned task is aborted; port zero picks a free port.
 pub(crate) async fn serve<H, F>(
     address: SocketAddr,
     faults: Arc<FaultSwitch>,
@@ -41,15 +41,15 @@
             let _ = socket.set_nodelay(true);
             let (faults, handle) = (Arc::clone(&faults), handle.clone());
             connections.spawn(async move {
-                let gate = Arc::clone(&faults);
+                let connection_faults = Arc::clone(&faults);
                 let service = service_fn(move |request| {
                     let (faults, handle) = (Arc::clone(&faults), handle.clone());
                     async move {
                         faults.before_request().await;
-                        // A lost reply is one to something that took effect, not one to a look.
-                        let takes_effect = !LOOKS.contains(&request.uri().path());
+                        // Only replies to requests with an effect are lost.
+                        let takes_effect = !READ_ONLY_PATHS.contains(&request.uri().path());
                         let response = handle(request).await;
-                        if takes_effect && faults.takes_lost_reply() {
+                        if takes_effect && faults.consume_lost_reply() {
                             return Err(std::io::Error::other("reply lost on purpose"));
                         }
                         Ok(response)
@@ -60,7 +60,7 @@
                     .serve_connection(TokioIo::new(socket), service);
                 tokio::select! {
                     _ = connection => {}
-                    () = wait_for_cut(&gate) => {}
+                    () = wait_for_cut(&connection_faults) => {}
                 }
             });
             while connections.try_join_next().is_some() {}
@@ -85,12 +85,12 @@
     reply(200, value.to_string())
 }
 
-/// The whole body; empty if the sender broke off.
+/// Reads the whole body; `None` if the sender broke off.
 pub(crate) async fn read_body(request: Request<Incoming>) -> Option<Bytes> {
     request.into_body().collect().await.ok().map(http_body_util::Collected::to_bytes)
 }
 
-/// The value of `key` in a query string.
+/// Returns the number under `key` in the query string.
 pub(crate) fn query_number(request: &Request<Incoming>, key: &str) -> Option<u64> {
     let query = request.uri().query()?;
     query.split('&').filter_map(|pair| pair.split_once('=')).find(|(name, _)| *name == key)?.1.parse().ok()
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service, such as bookings or a job desk: it counts what ran.
+//! A stand-in for a plain service, such as bookings or a job queue: it counts the calls that ran.
 
 use crate::FaultSwitch;
 use crate::server::{StandinBody, read_body, reply, serve};
@@ -40,28 +40,28 @@
         Ok(Self { state, address, task })
     }
 
-    /// Its address.
+    /// Returns the address at which it listens.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its faults.
+    /// Returns the switch for its faults.
     pub fn faults(&self) -> &FaultSwitch {
         &self.state.faults
     }
 
-    /// How often a call with this body ran.
+    /// Returns how often a call with this body ran.
     pub fn runs(&self, body: &str) -> u32 {
         let runs = self.state.runs.lock().unwrap_or_else(PoisonError::into_inner);
         runs.get(body).copied().unwrap_or(0)
     }
 
-    /// Bytes of all bodies that it received.
+    /// Returns the bytes of all bodies that it received.
     pub fn bytes(&self) -> u64 {
         self.state.bytes.load(Ordering::SeqCst)
     }
 
-    /// Makes each call take `millis` after it has run and before it answers.
+    /// Sets the delay of each answer after its call has run.
     pub fn work_for(&self, millis: u64) {
         self.state.work_millis.store(millis, Ordering::SeqCst);
     }
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a store of kept cache: conditional requests, a limited link, limited room.
+//! A stand-in for a cache store: conditional requests, a link of limited speed, limited space.
 
 use crate::FaultSwitch;
 use crate::server::{StandinBody, query_number, read_body, reply, reply_json, serve};
@@ -15,8 +15,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Changes that a listing can be asked to start from.
-const CHANGE_MEMORY: usize = 65_536;
+/// Changes retained for incremental listings; an older start gets a full list.
+const MAX_RETAINED_CHANGES: usize = 65_536;
 
 #[derive(Debug, Clone)]
 struct StoredBlock {
@@ -26,7 +26,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Shelf {
+struct BlockTable {
     blocks: BTreeMap<String, StoredBlock>,
     changes: VecDeque<(u64, String, bool)>,
     generation: u64,
@@ -34,11 +34,11 @@
 
 #[derive(Debug)]
 struct StoreState {
-    room: usize,
+    capacity_blocks: usize,
     transfer_micros: AtomicU64,
-    shelf: Mutex<Shelf>,
-    link_free: Mutex<Option<Instant>>,
-    link_used: AtomicU64,
+    table: Mutex<BlockTable>,
+    link_free_at: Mutex<Option<Instant>>,
+    link_used_micros: AtomicU64,
     transfers: AtomicU64,
     faults: Arc<FaultSwitch>,
 }
@@ -52,18 +52,22 @@
 }
 
 impl StoreStandin {
-    /// Starts a store with room for `room` blocks, whose link takes `transfer_micros` for each.
+    /// Starts a store for `capacity_blocks` blocks, whose link takes `transfer_micros` for each.
     ///
     /// # Errors
     /// If the address cannot be listened on.
-    pub async fn start(address: SocketAddr, room: usize, transfer_micros: u64) -> std::io::Result<Self> {
+    pub async fn start(
+        address: SocketAddr,
+        capacity_blocks: usize,
+        transfer_micros: u64,
+    ) -> std::io::Result<Self> {
         let faults = Arc::new(FaultSwitch::default());
         let state = Arc::new(StoreState {
-            room,
+            capacity_blocks,
             transfer_micros: AtomicU64::new(transfer_micros),
-            shelf: Mutex::default(),
-            link_free: Mutex::default(),
-            link_used: AtomicU64::new(0),
+            table: Mutex::default(),
+            link_free_at: Mutex::default(),
+            link_used_micros: AtomicU64::new(0),
             transfers: AtomicU64::new(0),
             faults: Arc::clone(&faults),
         });
@@ -73,37 +77,37 @@
         Ok(Self { state, address, task })
     }
 
-    /// Its address.
+    /// Returns the address at which it listens.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its faults.
+    /// Returns the switch for its faults.
     pub fn faults(&self) -> &FaultSwitch {
         &self.state.faults
     }
 
-    /// The number of blocks that it holds.
+    /// Returns the number of stored blocks.
     pub fn block_count(&self) -> usize {
-        lock(&self.state.shelf).blocks.len()
+        lock(&self.state.table).blocks.len()
     }
 
-    /// Transfers made, and microseconds that the link was in use.
+    /// Returns the number of transfers, and the microseconds that the link was in use.
     pub fn link_use(&self) -> (u64, u64) {
-        (self.state.transfers.load(Ordering::SeqCst), self.state.link_used.load(Ordering::SeqCst))
+        (self.state.transfers.load(Ordering::SeqCst), self.state.link_used_micros.load(Ordering::SeqCst))
     }
 
-    /// Makes each transfer take `micros` from now on.
+    /// Sets the time that each further transfer takes.
     pub fn set_transfer_micros(&self, micros: u64) {
         self.state.transfer_micros.store(micros, Ordering::SeqCst);
     }
 
-    /// Frees all blocks without telling anybody but those who list.
+    /// Releases all blocks; only listings show it.
     pub fn free_all(&self) {
-        let mut shelf = lock(&self.state.shelf);
-        let keys: Vec<String> = shelf.blocks.keys().cloned().collect();
+        let mut table = lock(&self.state.table);
+        let keys: Vec<String> = table.blocks.keys().cloned().collect();
         for key in keys {
-            free(&mut shelf, &key);
+            release_block(&mut table, &key);
         }
     }
 
@@ -129,36 +133,36 @@
     if path == "/healthz" {
         return reply(if state.faults.is_departing() { 503 } else { 200 }, "");
     }
-    let Some(rest) = path.strip_prefix("/kv/") else { return reply(404, "not found\n") };
-    match (request.method().clone(), rest.contains('/')) {
-        (Method::GET, false) => list(&state, rest, query_number(&request, "after")),
-        (Method::GET, true) => get(&state, rest).await,
-        (Method::PUT, true) => put(&state, rest, request).await,
+    let Some(pool_or_key) = path.strip_prefix("/kv/") else { return reply(404, "not found\n") };
+    match (request.method().clone(), pool_or_key.contains('/')) {
+        (Method::GET, false) => list(&state, pool_or_key, query_number(&request, "after")),
+        (Method::GET, true) => get(&state, pool_or_key).await,
+        (Method::PUT, true) => put(&state, pool_or_key, request).await,
         (Method::DELETE, true) => {
-            free(&mut lock(&state.shelf), rest);
+            release_block(&mut lock(&state.table), pool_or_key);
             reply(204, "")
         }
         _ => reply(405, "no such method\n"),
     }
 }
 
-/// Holds the link for the length of one transfer.
+/// Waits for the link and occupies it for one transfer.
 async fn transfer(state: &StoreState) {
     let micros = state.transfer_micros.load(Ordering::SeqCst);
-    let end = {
-        let mut free = lock(&state.link_free);
+    let finishes_at = {
+        let mut link_free_at = lock(&state.link_free_at);
         let now = Instant::now();
-        let end = free.unwrap_or(now).max(now) + Duration::from_micros(micros);
-        *free = Some(end);
-        end
+        let finishes_at = link_free_at.unwrap_or(now).max(now) + Duration::from_micros(micros);
+        *link_free_at = Some(finishes_at);
+        finishes_at
     };
-    state.link_used.fetch_add(micros, Ordering::SeqCst);
+    state.link_used_micros.fetch_add(micros, Ordering::SeqCst);
     state.transfers.fetch_add(1, Ordering::SeqCst);
-    tokio::time::sleep_until(end).await;
+    tokio::time::sleep_until(finishes_at).await;
 }
 
 async fn get(state: &StoreState, key: &str) -> Response<StandinBody> {
-    let Some(block) = lock(&state.shelf).blocks.get(key).cloned() else {
+    let Some(block) = lock(&state.table).blocks.get(key).cloned() else {
         return reply(404, "no such block\n");
     };
     transfer(state).await;
@@ -174,68 +178,68 @@
         request.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned()
     };
     let (condition, digest) = (header("if-none-match"), header("content-digest"));
-    let refusal = |shelf: &Shelf| {
-        if condition == "*" && shelf.blocks.contains_key(key) {
+    let refusal = |table: &BlockTable| {
+        if condition == "*" && table.blocks.contains_key(key) {
             return Some((412, "it is there already\n"));
         }
-        if shelf.blocks.len() >= state.room {
+        if table.blocks.len() >= state.capacity_blocks {
             return Some((507, "full\n"));
         }
         None
     };
-    if let Some((status, text)) = refusal(&lock(&state.shelf)) {
+    if let Some((status, text)) = refusal(&lock(&state.table)) {
         return reply(status, text);
     }
     let Some(mut body) = read_body(request).await else { return reply(400, "broken body\n") };
     transfer(state).await;
-    if state.faults.takes_truncation() {
+    if state.faults.consume_truncation() {
         body.truncate(body.len() / 2);
     } else if digest != format!("blake3=:{}:", STANDARD.encode(blake3::hash(&body).as_bytes())) {
         return reply(400, "the digest does not fit\n");
     }
-    let mut shelf = lock(&state.shelf);
-    if let Some((status, text)) = refusal(&shelf) {
+    let mut table = lock(&state.table);
+    if let Some((status, text)) = refusal(&table) {
         return reply(status, text);
     }
-    shelf.generation += 1;
-    let generation = shelf.generation;
-    shelf.blocks.insert(key.to_owned(), StoredBlock { body, digest, generation });
-    record_change(&mut shelf, key, true);
+    table.generation += 1;
+    let generation = table.generation;
+    table.blocks.insert(key.to_owned(), StoredBlock { body, digest, generation });
+    record_change(&mut table, key, true);
     reply(201, "")
 }
 
-fn free(shelf: &mut Shelf, key: &str) {
-    if shelf.blocks.remove(key).is_some() {
-        shelf.generation += 1;
-        record_change(shelf, key, false);
+fn release_block(table: &mut BlockTable, key: &str) {
+    if table.blocks.remove(key).is_some() {
+        table.generation += 1;
+        record_change(table, key, false);
     }
 }
 
-fn record_change(shelf: &mut Shelf, key: &str, stored: bool) {
-    let generation = shelf.generation;
-    shelf.changes.push_back((generation, key.to_owned(), stored));
-    if shelf.changes.len() > CHANGE_MEMORY {
-        shelf.changes.pop_front();
+fn record_change(table: &mut BlockTable, key: &str, stored: bool) {
+    let generation = table.generation;
+    table.changes.push_back((generation, key.to_owned(), stored));
+    if table.changes.len() > MAX_RETAINED_CHANGES {
+        table.changes.pop_front();
     }
 }
 
 fn list(state: &StoreState, pool: &str, after: Option<u64>) -> Response<StandinBody> {
-    let shelf = lock(&state.shelf);
-    let room = state.room.saturating_sub(shelf.blocks.len());
+    let table = lock(&state.table);
+    let free_blocks = state.capacity_blocks.saturating_sub(table.blocks.len());
     let prefix = format!("{pool}/");
-    let oldest = shelf.changes.front().map_or(shelf.generation + 1, |(generation, ..)| *generation);
+    let oldest = table.changes.front().map_or(table.generation + 1, |(generation, ..)| *generation);
     let (mut stored, mut freed) = (Vec::new(), Vec::new());
-    let whole = after.is_none_or(|after| after + 1 < oldest || after > shelf.generation);
-    if whole {
-        stored.extend(shelf.blocks.keys().filter_map(|key| key.strip_prefix(&prefix)));
+    let is_full_list = after.is_none_or(|after| after + 1 < oldest || after > table.generation);
+    if is_full_list {
+        stored.extend(table.blocks.keys().filter_map(|key| key.strip_prefix(&prefix)));
     } else {
-        let changes = shelf.changes.iter().filter(|(generation, ..)| Some(*generation) > after);
+        let changes = table.changes.iter().filter(|(generation, ..)| Some(*generation) > after);
         for (_, key, is_stored) in changes {
             let Some(key) = key.strip_prefix(&prefix) else { continue };
             if *is_stored { stored.push(key) } else { freed.push(key) }
         }
     }
     reply_json(&json!({
-        "generation": shelf.generation, "room": room, "whole": whole, "stored": stored, "freed": freed
+        "generation": table.generation, "room": free_blocks, "whole": is_full_list, "stored": stored, "freed": freed
     }))
 }
