--- a/crates/spanfold/src/outcome.rs
+++ b/crates/spanfold/src/outcome.rs
@@ -27,7 +27,9 @@
         Self { text: text.into(), code }
     }
 
-    /// Prints the text: findings and differences to standard output like results, other failures to standard error.
+    /// Prints the text: results, findings and differences to standard output, failures to standard error.
+    ///
+    /// Findings and differences are the output that the command is run for.
     pub(crate) fn print(&self) {
         let text = self.text.trim_end();
         if text.is_empty() {
