--- a/crates/decide/src/admit/share_queue.rs
+++ b/crates/decide/src/admit/share_queue.rs
@@ -34,15 +34,15 @@
 
 /// Properties of a request that decide its position in the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct QueueOrder {
+pub struct QueueEntry {
     /// Number of the request at this VM, in the order of arrival.
     pub number: u64,
     /// Priority of the request; zero is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
     /// Client account of the request; empty if it has none.
     pub account: String,
     /// Time at which the request arrived.
-    pub received: Moment,
+    pub received_at: Moment,
     /// Latency objective of the route, in milliseconds.
     pub objective_millis: u64,
 }
@@ -102,7 +102,7 @@
 /// A waiting request.
 #[derive(Debug)]
 struct WaitingRequest {
-    entry: QueueOrder,
+    entry: QueueEntry,
     /// Time at which an endpoint accepts it, by its latest poll.
     next_at: Moment,
     /// Time of its latest poll.
@@ -113,13 +113,13 @@
 type QueueKey = (u8, usize, Moment, u64);
 
 impl ServiceQueue {
-    fn sort_key(&self, entry: &QueueOrder) -> QueueKey {
+    fn sort_key(&self, entry: &QueueEntry) -> QueueKey {
         let served = self.served_counts.get(&entry.account).copied().unwrap_or_default();
-        (entry.rank, served, entry.received, entry.number)
+        (entry.priority, served, entry.received_at, entry.number)
     }
 
     /// Counts the other requests waiting at `now` that precede `entry` and may go at `start_at`.
-    fn count_ahead(&self, entry: &QueueOrder, start_at: Moment, now: Moment) -> usize {
+    fn count_ahead(&self, entry: &QueueEntry, start_at: Moment, now: Moment) -> usize {
         let own_key = self.sort_key(entry);
         let others = self.waiting.iter().filter(|row| row.entry.number != entry.number);
         let others = others
@@ -161,7 +161,7 @@
 
 impl ShareQueue {
     /// Whether no waiting request precedes this one, which an endpoint accepts now.
-    pub fn is_next_in_queue(&self, service: &str, entry: &QueueOrder, now: Moment) -> bool {
+    pub fn is_next_in_queue(&self, service: &str, entry: &QueueEntry, now: Moment) -> bool {
         self.services.get(service).is_none_or(|queue| queue.count_ahead(entry, now, now) == 0)
     }
 
@@ -169,10 +169,10 @@
     ///
     /// # Examples
     /// ```
-    /// use spanfold_decide::{QueueOrder, ShareCapacity, ShareQueue, ShareVerdict};
+    /// use spanfold_decide::{QueueEntry, ShareCapacity, ShareQueue, ShareVerdict};
     /// use spanfold_entity::Moment;
-    /// let entry = QueueOrder {
-    ///     number: 1, rank: 0, account: String::new(), received: Moment(0), objective_millis: 300,
+    /// let entry = QueueEntry {
+    ///     number: 1, priority: 0, account: String::new(), received_at: Moment(0), objective_millis: 300,
     /// };
     /// let capacity = ShareCapacity {
     ///     next_at: Some(Moment(90_000)), own_per_s: 2.0, all_per_s: 4.0, vms: 2, backoff_until: None,
@@ -185,13 +185,14 @@
     pub fn admit(
         &mut self,
         service: &str,
-        entry: &QueueOrder,
+        entry: &QueueEntry,
         capacity: &ShareCapacity,
         now: Moment,
     ) -> ShareVerdict {
         let queue = self.services.entry(service.to_owned()).or_default();
-        let wait_deadline =
-            entry.received.after_micros((entry.objective_millis as f64 * 1_000.0 * MAX_WAIT_FRACTION) as u64);
+        let wait_deadline = entry
+            .received_at
+            .after_micros((entry.objective_millis as f64 * 1_000.0 * MAX_WAIT_FRACTION) as u64);
         let expected_at = capacity.next_at.map(|next_at| {
             let requests_ahead = queue.count_ahead(entry, next_at.max(now), now);
             next_at
@@ -214,7 +215,7 @@
     }
 
     /// Records that a request goes to an endpoint that accepts few.
-    pub fn record_served(&mut self, service: &str, entry: &QueueOrder, now: Moment) {
+    pub fn record_served(&mut self, service: &str, entry: &QueueEntry, now: Moment) {
         let queue = self.services.entry(service.to_owned()).or_default();
         queue.remove(entry.number);
         queue.discard_served(now);
@@ -223,7 +224,7 @@
     }
 
     /// Removes a request that no longer waits.
-    pub fn leave(&mut self, service: &str, number: u64) {
+    pub fn remove(&mut self, service: &str, number: u64) {
         if let Some(queue) = self.services.get_mut(service) {
             queue.remove(number);
         }
--- a/crates/decide/src/fleet/deployment.rs
+++ b/crates/decide/src/fleet/deployment.rs
@@ -81,9 +81,9 @@
     /// # Examples
     /// ```
     /// use spanfold_decide::RouteRow;
-    /// assert_eq!(RouteRow { objective_millis: 1_200, gap_millis: 300, ..RouteRow::default() }.silence_millis(), 4_800);
+    /// assert_eq!(RouteRow { objective_millis: 1_200, gap_millis: 300, ..RouteRow::default() }.stream_idle_timeout_millis(), 4_800);
     /// ```
-    pub fn silence_millis(&self) -> u64 {
+    pub fn stream_idle_timeout_millis(&self) -> u64 {
         MIN_STREAM_IDLE_TIMEOUT_MILLIS.max(self.objective_millis * 4).max(self.gap_millis * 8)
     }
 
@@ -123,7 +123,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdSpec {
     /// Time for which a started endpoint counts as cold if it reports none, in milliseconds.
-    pub start_millis: u64,
+    pub default_cold_millis: u64,
     /// Requests a second from all VMs together.
     ///
     /// Zero if it accepts as many as a warm endpoint.
@@ -155,7 +155,7 @@
     /// Capacity of its link, in megabits a second.
     pub link_mbps: f64,
     /// Fixed latency of each transfer, in milliseconds.
-    pub first_millis: f64,
+    pub transfer_latency_millis: f64,
     /// Bytes of one token's cached state.
     pub token_bytes: u64,
     /// Long polls for updates that it accepts concurrently, from all VMs together.
@@ -243,7 +243,7 @@
 impl EndpointEntry {
     /// Returns the key that identifies this start of the endpoint.
     pub fn key(&self) -> EndpointKey {
-        EndpointKey::of_start(&self.id, self.born_millis)
+        EndpointKey::of_incarnation(&self.id, self.born_millis)
     }
 }
 
@@ -277,9 +277,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheChange {
     /// Cache salt under which the segment is shared.
-    pub salt: String,
+    pub cache_salt: String,
     /// Key of the segment.
-    pub part: u64,
+    pub segment: u64,
     /// Identity of the segment as the store writes it.
     pub segment_text: String,
     /// Tokens that the store contains after the change; zero if the segment was removed.
@@ -302,7 +302,7 @@
     /// Cache salts and identities of segments whose transfer broke off.
     ///
     /// They occupy space in the store. Only a full index contains them.
-    pub broken: Vec<(String, String)>,
+    pub broken_segments: Vec<(String, String)>,
 }
 
 /// One segment of a prompt: its identity and size, as the caller states them.
--- a/crates/decide/src/fleet/endpoint_row.rs
+++ b/crates/decide/src/fleet/endpoint_row.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::peer_loads::PeerLoads;
 use crate::fleet::reported_health::ReportedHealth;
-use crate::{EndpointBackoff, EndpointEntry, KeptParts, RecentSends, ReportedLimit, SendReport, VmKey};
+use crate::{CachedSegments, EndpointBackoff, EndpointEntry, RecentSends, ReportedLimit, SendReport, VmKey};
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
     /// Requests that were sent and have not finished.
     pub running: u32,
     /// Prompt tokens that the endpoint still has to prefill before first events.
-    pub unread_tokens: u64,
+    pub pending_prefill_tokens: u64,
     /// Memory that those requests use or will use, in tokens.
     pub memory_tokens: u64,
 }
@@ -23,14 +23,14 @@
     /// Adds `load`.
     pub fn add(&mut self, load: Self) {
         self.running += load.running;
-        self.unread_tokens += load.unread_tokens;
+        self.pending_prefill_tokens += load.pending_prefill_tokens;
         self.memory_tokens += load.memory_tokens;
     }
 
     /// Subtracts `load`, saturating at zero.
     pub fn subtract(&mut self, load: Self) {
         self.running = self.running.saturating_sub(load.running);
-        self.unread_tokens = self.unread_tokens.saturating_sub(load.unread_tokens);
+        self.pending_prefill_tokens = self.pending_prefill_tokens.saturating_sub(load.pending_prefill_tokens);
         self.memory_tokens = self.memory_tokens.saturating_sub(load.memory_tokens);
     }
 }
@@ -98,17 +98,17 @@
     /// Entry in service discovery; its weights may be newer than the listed ones.
     pub entry: EndpointEntry,
     /// Its entry is gone; until this deadline it may return, and the endpoint continues to get work.
-    pub missing_until: Option<Moment>,
+    pub grace_deadline: Option<Moment>,
     /// Whether its last written entry cannot be parsed, and so gives no endpoint to use.
     pub is_unreadable: bool,
     /// End of its data centre's evacuation; it gets no new work until then, and running work finishes.
     pub evacuated_until: Moment,
-    /// End of its warm-up; it takes only a few requests a second until then.
+    /// End of its warm-up; until then it takes only a few requests a second if its service has a reduced rate.
     pub cold_until: Moment,
     /// Limit of requests a second from all VMs together.
     pub limit: ReportedLimit,
     /// Backoff that it asked this VM for.
-    pub rest: EndpointBackoff,
+    pub backoff: EndpointBackoff,
     /// Whether it announced its departure in an answer.
     pub has_departed: bool,
     /// Headers that were invalid in its last answer.
@@ -120,7 +120,7 @@
     /// Work that other VMs have in flight there, as they report it.
     pub(crate) peer_loads: PeerLoads,
     /// Prompt segments that it is estimated to have cached.
-    pub kept: KeptParts,
+    pub cached_segments: CachedSegments,
     /// Time until which it gets no new work, because its weights are about to change.
     pub cordoned_until: Moment,
     /// Source of the report that its weights are about to change.
@@ -144,18 +144,18 @@
     /// Returns the state of an endpoint of which only the entry was received.
     pub fn new(entry: EndpointEntry) -> Self {
         Self {
-            missing_until: None,
+            grace_deadline: None,
             is_unreadable: false,
             evacuated_until: Moment(0),
             cold_until: Moment(0),
             limit: ReportedLimit::default(),
-            rest: EndpointBackoff::default(),
+            backoff: EndpointBackoff::default(),
             has_departed: false,
             invalid_headers: Vec::new(),
             recent_sends: RecentSends::default(),
             own: LoadCount::default(),
             peer_loads: PeerLoads::default(),
-            kept: KeptParts::default(),
+            cached_segments: CachedSegments::default(),
             cordoned_until: Moment(0),
             cordoned_by: CordonSource::Own,
             listed_weights: Arc::clone(&entry.weights),
@@ -186,7 +186,7 @@
     }
 
     /// Returns its slowdown: the multiple of the expected time that it takes.
-    pub const fn pace(&self) -> f64 {
+    pub const fn slowdown(&self) -> f64 {
         self.slowdown
     }
 
@@ -213,7 +213,9 @@
     }
 
     /// Whether it announced its departure, in an answer or in its entry.
-    pub const fn has_announced_end(&self) -> bool {
+    ///
+    /// Its end is then expected, and no crash.
+    pub const fn has_announced_departure(&self) -> bool {
         self.has_departed || self.entry.draining
     }
 
@@ -221,9 +223,9 @@
     ///
     /// An entry counts as gone after its grace period.
     pub fn is_departing(&self, now: Moment) -> bool {
-        self.has_announced_end()
+        self.has_announced_departure()
             || self.is_unreadable
-            || self.missing_until.is_some_and(|deadline| now >= deadline)
+            || self.grace_deadline.is_some_and(|deadline| now >= deadline)
     }
 
     /// Whether it may get new work: it is not departing, and its data centre is not evacuated.
@@ -237,16 +239,16 @@
         let has_changed = is_recent(self.observed_weights_at)
             || is_recent(self.reported_weights_at)
             || is_recent(self.remote_weights_at);
-        has_changed || self.is_closing(now)
+        has_changed || self.is_cordoned(now)
     }
 
     /// Whether it is cordoned, because its weights change or are about to.
-    pub fn is_closing(&self, now: Moment) -> bool {
+    pub fn is_cordoned(&self, now: Moment) -> bool {
         now < self.cordoned_until
     }
 
     /// Records the outcome of a send by this VM.
-    pub fn learn(&mut self, outcome: SendOutcome, now: Moment) {
+    pub fn record_outcome(&mut self, outcome: SendOutcome, now: Moment) {
         let failure = match outcome {
             SendOutcome::Answered => 0.0,
             SendOutcome::Failed | SendOutcome::Unreached | SendOutcome::Broken | SendOutcome::Silent => 1.0,
@@ -288,7 +290,7 @@
             }
             SendOutcome::Refused => {
                 if let Some(millis) = report.rest_millis {
-                    self.reported_health.record_asked_backoff(reporter, millis, slot, now);
+                    self.reported_health.record_requested_backoff(reporter, millis, slot, now);
                 }
                 return;
             }
--- a/crates/decide/src/fleet/fleet_limits.rs
+++ b/crates/decide/src/fleet/fleet_limits.rs
@@ -18,7 +18,7 @@
     /// Returns when an endpoint whose entry was received at `now` stops being cold.
     pub(super) fn cold_until_of(&mut self, entry: &EndpointEntry, now: Moment) -> Moment {
         let spec = self.services.get(&entry.service).map_or_else(ColdSpec::default, |service| service.cold);
-        let millis = entry.cold_millis.unwrap_or(spec.start_millis).min(MAX_COLD_MILLIS);
+        let millis = entry.cold_millis.unwrap_or(spec.default_cold_millis).min(MAX_COLD_MILLIS);
         let cold_until = now.after_millis(millis);
         if spec.per_s > 0.0 {
             self.max_cold_until = self.max_cold_until.max(cold_until);
@@ -64,16 +64,16 @@
         now: Moment,
     ) -> Option<Moment> {
         let terms = self.rate_terms(row, shares.cold, now);
-        let mut next_at = row.rest.next_at(now);
+        let mut next_at = row.backoff.next_at(now);
         for terms in terms.iter().flatten() {
-            let share = shares.part(key, row, terms);
+            let share = shares.share(key, row, terms);
             next_at = next_at.max(row.recent_sends.next_at(share, terms.window_millis, now)?);
         }
         Some(next_at)
     }
 
     /// Whether an endpoint takes few requests from all VMs together.
-    pub fn takes_few(&self, key: EndpointKey, now: Moment) -> bool {
+    pub fn takes_few_requests(&self, key: EndpointKey, now: Moment) -> bool {
         self.rows
             .get(&key)
             .is_some_and(|row| row.limit.rate(now).is_some() || self.cold_spec(row, now).is_some())
@@ -88,7 +88,7 @@
         let window_millis = terms.iter().flatten().map(|terms| terms.window_millis).max();
         let takes_request = self.next_share(key, row, shares, now).is_some_and(|at| at <= now);
         if takes_request && let Some(row) = self.rows.get_mut(&key) {
-            row.rest.record_send(now);
+            row.backoff.record_send(now);
             if let Some(window_millis) = window_millis {
                 row.recent_sends.push(window_millis, now);
             }
@@ -111,14 +111,14 @@
             match lowest {
                 Some(terms) => {
                     capacity.all_per_s += terms.per_s(terms.count);
-                    capacity.own_per_s += terms.per_s(shares.part(key, row, &terms));
+                    capacity.own_per_s += terms.per_s(shares.share(key, row, &terms));
                 }
-                None if row.rest.is_recovered(now) => return None, // The request would have been placed there.
+                None if row.backoff.is_recovered(now) => return None, // The request would have been placed there.
                 None => capacity.add_backed_off(row),
             }
-            all_back_off &= row.rest.is_backing_off(now);
+            all_back_off &= row.backoff.is_backing_off(now);
             capacity.backoff_until =
-                [capacity.backoff_until, row.rest.until(now)].into_iter().flatten().min();
+                [capacity.backoff_until, row.backoff.until(now)].into_iter().flatten().min();
             let next_at = self.next_share(key, row, shares, now);
             capacity.next_at = [capacity.next_at, next_at].into_iter().flatten().min();
         }
--- a/crates/decide/src/fleet/fleet_loads.rs
+++ b/crates/decide/src/fleet/fleet_loads.rs
@@ -11,7 +11,7 @@
 
 impl FleetTable {
     /// Counts work sent to an endpoint, and records that it caches `segments` from now on.
-    pub fn take(&mut self, key: EndpointKey, load: LoadCount, segments: &[PromptSegment], salt: u64) {
+    pub fn reserve(&mut self, key: EndpointKey, load: LoadCount, segments: &[PromptSegment], salt: u64) {
         self.record_segments(key, segments, salt);
         if let Some(row) = self.rows.get_mut(&key) {
             row.own.add(load);
@@ -37,7 +37,7 @@
             .get(&row.entry.service)
             .and_then(|service| service.engine.as_ref())
             .map_or(0, |engine| engine.memory_tokens);
-        row.kept.note(segments, salt, (memory as f64 * USABLE_CACHE_FRACTION) as u64);
+        row.cached_segments.record(segments, salt, (memory as f64 * USABLE_CACHE_FRACTION) as u64);
     }
 
     /// Applies a digest of the work that other VMs have in flight.
@@ -87,6 +87,6 @@
     /// Idle endpoints are omitted.
     pub fn remote_loads(&self, now: Moment) -> Vec<(EndpointKey, LoadCount)> {
         let busy = self.reported_by(|source| matches!(source, LoadSource::DataCentre(_))).collect();
-        self.loads_at(busy, |row| row.peer_loads.sum_far(now))
+        self.loads_at(busy, |row| row.peer_loads.remote_sum(now))
     }
 }
--- a/crates/decide/src/fleet/fleet_table.rs
+++ b/crates/decide/src/fleet/fleet_table.rs
@@ -57,7 +57,10 @@
     pub(super) evacuated: BTreeMap<String, Moment>,
     /// Region of each data centre.
     pub(super) regions: BTreeMap<String, String>,
-    /// Upper bound of `cold_until` over all rows.
+    /// Time from which no endpoint is cold, as far as recorded.
+    ///
+    /// Counts only endpoints whose service has a reduced rate while cold, and those that stated a warm-up time
+    /// in an answer.
     pub(super) max_cold_until: Moment,
     /// Whether any endpoint may have a reported limit.
     pub(super) has_limits: bool,
@@ -104,14 +107,14 @@
     /// Endpoints that announced their departure in an answer.
     pub departed: usize,
     /// Endpoints that asked this VM for a backoff that has not expired.
-    pub resting: usize,
+    pub backing_off: usize,
 }
 
 /// Result of a sweep over all endpoints.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetSweep {
     /// Endpoints that were removed: their entries are gone and this VM has no work in flight there.
-    pub gone: Vec<EndpointKey>,
+    pub removed: Vec<EndpointKey>,
     /// Counts of the remaining endpoints.
     pub counts: FleetCounts,
 }
@@ -162,7 +165,7 @@
         let missing: Vec<_> = self
             .rows
             .iter()
-            .filter(|(key, row)| !listed.contains(key) && row.missing_until.is_none())
+            .filter(|(key, row)| !listed.contains(key) && row.grace_deadline.is_none())
             .map(|(_, row)| row.entry.id.clone())
             .collect();
         for id in &missing {
@@ -173,11 +176,11 @@
 
     /// Removes idle endpoints whose entries are gone and counts the others, in one pass.
     pub fn sweep(&mut self, now: Moment) -> FleetSweep {
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         let mut counts = FleetCounts::default();
         for (key, row) in &mut self.rows {
-            if row.missing_until.is_some_and(|deadline| now >= deadline) && row.own.running == 0 {
-                gone.push(*key);
+            if row.grace_deadline.is_some_and(|deadline| now >= deadline) && row.own.running == 0 {
+                removed.push(*key);
                 continue;
             }
             row.decay_slowdown();
@@ -185,18 +188,18 @@
             counts.suspected += usize::from(row.is_suspected());
             counts.limited += usize::from(row.limit.per_s().is_some());
             counts.departed += usize::from(row.has_departed);
-            counts.resting += usize::from(row.rest.is_backing_off(now));
+            counts.backing_off += usize::from(row.backoff.is_backing_off(now));
         }
         counts.cold = if now < self.max_cold_until { self.cold_count(now) } else { 0 };
         let rows = &self.rows;
         self.changing_weights.retain(|key| rows.get(key).is_some_and(|row| row.has_changing_weights(now)));
-        for key in &gone {
+        for key in &removed {
             let Some(row) = self.rows.remove(key) else { continue };
             self.own_busy.remove(key);
             if let Some(keys) = self.keys_by_service.get_mut(&row.entry.service) {
                 keys.retain(|listed_key| listed_key != key);
             }
-            let has_departed = row.has_announced_end();
+            let has_departed = row.has_announced_departure();
             let EndpointEntry { id, weights, .. } = row.entry;
             self.record_removed(*key, RemovedEndpoint { id, recorded_at: now, weights, has_departed });
         }
@@ -204,7 +207,7 @@
             row.sweep(now);
         }
         self.reported_rows.retain(|_, rows| now < rows.received_at.after_millis(REMOVED_RETENTION_MILLIS));
-        FleetSweep { gone, counts }
+        FleetSweep { removed, counts }
     }
 
     /// Records a removed incarnation, and evicts the oldest record when the limit is reached.
@@ -246,9 +249,9 @@
     }
 
     /// Records the outcome of a send by this VM.
-    pub fn learn(&mut self, key: EndpointKey, outcome: SendOutcome, now: Moment) {
+    pub fn record_outcome(&mut self, key: EndpointKey, outcome: SendOutcome, now: Moment) {
         let Some(row) = self.rows.get_mut(&key) else { return };
-        row.learn(outcome, now);
+        row.record_outcome(outcome, now);
         let record = self.reachability.entry(row.entry.data_centre.clone()).or_default();
         match outcome {
             SendOutcome::Unreached | SendOutcome::Broken | SendOutcome::Silent => {
--- a/crates/decide/src/fleet/fleet_weights.rs
+++ b/crates/decide/src/fleet/fleet_weights.rs
@@ -48,7 +48,7 @@
             row.entry.weights = self.weights.intern(Arc::new(weights.clone()));
             row.observed_weights_at = Some(now);
             row.cordoned_until = now;
-            row.kept.clear();
+            row.cached_segments.clear();
             self.changing_weights.insert(key);
         }
     }
@@ -70,7 +70,7 @@
             let model = model.clone();
             Arc::make_mut(&mut row.entry.weights).insert(model, version);
             row.entry.weights = self.weights.intern(Arc::clone(&row.entry.weights));
-            row.kept.clear();
+            row.cached_segments.clear();
             row.cordoned_until = now;
             let reported_at =
                 if is_local { &mut row.reported_weights_at } else { &mut row.remote_weights_at };
@@ -80,7 +80,7 @@
     }
 
     /// Iterates over the endpoints whose weights change or changed recently.
-    pub fn changing(&self) -> impl Iterator<Item = (EndpointKey, &EndpointRow)> {
+    pub fn rows_with_changing_weights(&self) -> impl Iterator<Item = (EndpointKey, &EndpointRow)> {
         self.changing_weights.iter().filter_map(|key| Some((*key, self.rows.get(key)?.as_ref())))
     }
 
--- a/crates/decide/src/fleet/peer_table.rs
+++ b/crates/decide/src/fleet/peer_table.rs
@@ -186,7 +186,7 @@
     }
 
     /// Records a digest; false if outdated or its sender is not in the table.
-    pub fn hear(&mut self, vm: VmKey, incarnation: u64, sequence: u64, now: Moment) -> bool {
+    pub fn record_digest(&mut self, vm: VmKey, incarnation: u64, sequence: u64, now: Moment) -> bool {
         let Some(row) = self.rows.get_mut(&vm) else { return false };
         if row.sequence.0 == incarnation && row.sequence.1 >= sequence {
             return false;
@@ -310,15 +310,15 @@
     /// recently that they may still use their shares.
     pub fn share_right(&self, membership: &ListMembership, now: Moment) -> ShareRight {
         let mut right = ShareRight::alone(VmKey::of(&self.own.name), &self.own.data_centre);
-        right.is_fresh = membership.is_fresh(now);
+        right.is_list_current = membership.is_list_current(now);
         let listed = self.rows.iter().filter(|(_, row)| row.listed);
         let listed = listed.map(|(vm, row)| (*vm, row.entry.data_centre.as_str()));
         let departed = self.departed.iter().filter(|(_, row)| now < row.share_deadline);
         let departed = departed.map(|(vm, row)| (*vm, row.data_centre.as_str()));
         for (vm, data_centre) in listed.chain(departed) {
-            right.all.push(vm);
+            right.other_vms.push(vm);
             if data_centre == self.own.data_centre {
-                right.near.push(vm);
+                right.local_vms.push(vm);
             } else if !right.remote_data_centres.contains(data_centre) {
                 right.remote_data_centres.insert(data_centre.to_owned());
             }
@@ -358,7 +358,7 @@
     /// let mut table = PeerTable::new(vm("vm-1", 10));
     /// table.list(vm("vm-2", 200));
     /// assert_eq!(table.leader_rank(Moment(0)), 0);
-    /// table.hear(VmKey::of("vm-2"), 1, 1, Moment(0));
+    /// table.record_digest(VmKey::of("vm-2"), 1, 1, Moment(0));
     /// assert_eq!(table.leader_rank(Moment(1)), 1);
     /// ```
     pub fn leader_rank(&self, now: Moment) -> usize {
@@ -466,7 +466,7 @@
     }
 
     /// Returns this VM's index among all VMs of the deployment by name, from zero.
-    pub fn own_rank(&self) -> usize {
+    pub fn own_name_index(&self) -> usize {
         self.rows.values().filter(|row| row.entry.name < self.own.name).count()
     }
 }
--- a/crates/decide/src/kept/cached_segments.rs
+++ b/crates/decide/src/kept/cached_segments.rs
@@ -13,23 +13,23 @@
 
 /// Segments that are estimated to be cached; the least recently used one is evicted first.
 #[derive(Debug, Default)]
-pub struct KeptParts {
+pub struct CachedSegments {
     tokens: u64,
     /// Salted keys and tokens, in the order of last use.
     rows: Vec<(u64, u32)>,
 }
 
-impl KeptParts {
+impl CachedSegments {
     /// Returns the number of leading `segments` estimated to be cached under the salt with the digest `salt`.
     ///
     /// # Examples
     /// ```
-    /// use spanfold_decide::{KeptParts, PromptSegment};
+    /// use spanfold_decide::{CachedSegments, PromptSegment};
     /// let segments = [PromptSegment { key: 1, tokens: 100 }, PromptSegment { key: 2, tokens: 50 }];
-    /// let mut cached = KeptParts::default();
-    /// cached.note(&segments[1..], 7, 1_000);
+    /// let mut cached = CachedSegments::default();
+    /// cached.record(&segments[1..], 7, 1_000);
     /// assert_eq!(cached.leading(&segments, 7), 0);
-    /// cached.note(&segments, 7, 1_000);
+    /// cached.record(&segments, 7, 1_000);
     /// assert_eq!(cached.leading(&segments, 7), 2);
     /// assert_eq!(cached.leading(&segments, 8), 0);
     /// ```
@@ -45,7 +45,7 @@
     }
 
     /// Records a use of `segments`, and evicts what exceeds `capacity_tokens`.
-    pub fn note(&mut self, segments: &[PromptSegment], salt: u64, capacity_tokens: u64) {
+    pub fn record(&mut self, segments: &[PromptSegment], salt: u64, capacity_tokens: u64) {
         // Most other prompts use the first segment too, so it is marked as used last and evicted last.
         for segment in segments.iter().rev() {
             let key = salted_key(segment.key, salt);
--- a/crates/decide/src/kept/store_row.rs
+++ b/crates/decide/src/kept/store_row.rs
@@ -119,7 +119,7 @@
     pub fn apply(&mut self, update: &CacheUpdate, reachable_until: Moment) {
         self.reachable_until = reachable_until;
         for change in &update.changes {
-            let key = salted_key(change.part, short_digest(&change.salt));
+            let key = salted_key(change.segment, short_digest(&change.cache_salt));
             self.set_segment(key, change.tokens);
             if self.unreported.len() < MAX_UNREPORTED {
                 self.unreported.insert(key, change.tokens);
@@ -181,18 +181,18 @@
     }
 
     /// Marks the store as unreachable: nothing is fetched until it reports again.
-    pub fn lose(&mut self) {
+    pub fn mark_unreachable(&mut self) {
         self.reachable_until = Moment(0);
     }
 
     /// Whether the store's last report is still valid.
-    pub fn is_heard(&self, now: Moment) -> bool {
+    pub fn is_reachable(&self, now: Moment) -> bool {
         now < self.reachable_until
     }
 
     /// Whether it contains all `tokens` of a segment.
-    pub fn holds(&self, key: u64, tokens: u32, now: Moment) -> bool {
-        self.is_heard(now) && self.segments.get(&key).is_some_and(|held| *held >= tokens)
+    pub fn contains(&self, key: u64, tokens: u32, now: Moment) -> bool {
+        self.is_reachable(now) && self.segments.get(&key).is_some_and(|stored| *stored >= tokens)
     }
 
     /// Whether the segment is stored, or is being sent for a request of this VM.
@@ -208,7 +208,7 @@
     }
 
     /// Records that a segment is being sent there for a request of this VM.
-    pub fn ask(&mut self, key: u64, tokens: u32, now: Moment) {
+    pub fn record_request(&mut self, key: u64, tokens: u32, now: Moment) {
         self.record_pending(
             key,
             PendingSave { tokens, deadline: now.after_millis(SAVE_TIMEOUT_MILLIS), is_own: true },
@@ -216,7 +216,7 @@
     }
 
     /// Records that a segment is being sent there for a request of another VM: it takes space, but this VM
-    /// can't tell whether the engine there needed to send it.
+    /// cannot determine whether the engine there needed to send it.
     pub fn record_remote_request(&mut self, key: u64, tokens: u32, now: Moment) {
         if !self.pending_saves.get(&key).is_some_and(|save| save.is_own) {
             self.record_pending(
@@ -249,7 +249,9 @@
     pub fn transfer_time_micros(&self, tokens: u64, data_centre: &str, now: Moment) -> f64 {
         let peer_micros: u64 = self.peers.values().map(|transfers| transfers.end_at.micros_since(now)).sum();
         let waiting_micros = self.own_transfers_end_at.micros_since(now) + peer_micros;
-        waiting_micros as f64 + self.spec.first_millis * 1_000.0 + self.link_micros(tokens, data_centre, now)
+        waiting_micros as f64
+            + self.spec.transfer_latency_millis * 1_000.0
+            + self.link_micros(tokens, data_centre, now)
     }
 
     /// Returns the time for which a transfer of `tokens` occupies the link, in microseconds.
@@ -289,14 +291,14 @@
     }
 
     /// Records that a transfer of `tokens` to an engine begins.
-    pub fn take(&mut self, tokens: u64, data_centre: &str, now: Moment) {
+    pub fn begin_transfer(&mut self, tokens: u64, data_centre: &str, now: Moment) {
         let transfer_micros = self.link_micros(tokens, data_centre, now) as u64;
         self.own_transfers_end_at = self.own_transfers_end_at.max(now).after_micros(transfer_micros);
     }
 
     /// Returns the remaining time of the transfers of this VM and of the VMs that `is_counted` selects, in
     /// microseconds, and the mean of the slowdowns that their transfers have shown recently.
-    pub fn moves_of(&self, is_counted: impl Fn(VmKey) -> bool, now: Moment) -> (u64, Option<f64>) {
+    pub fn transfers_of(&self, is_counted: impl Fn(VmKey) -> bool, now: Moment) -> (u64, Option<f64>) {
         let counted = self.transfers_where(|source| matches!(source, LoadSource::Vm(vm) if is_counted(vm)));
         let micros: u64 = counted.iter().map(|transfers| transfers.end_at.micros_since(now)).sum();
         let reported = reported_slowdowns(&counted, now);
@@ -322,7 +324,13 @@
     }
 
     /// Applies the report of another VM or data centre on its transfers.
-    pub fn set_peer(&mut self, source: LoadSource, busy_micros: u64, slowdown: Option<f64>, now: Moment) {
+    pub fn set_peer_transfers(
+        &mut self,
+        source: LoadSource,
+        busy_micros: u64,
+        slowdown: Option<f64>,
+        now: Moment,
+    ) {
         let slowdown_deadline = now.after_millis(SLOWDOWN_LIFETIME_MILLIS);
         self.peers.insert(
             source,
@@ -331,7 +339,7 @@
     }
 
     /// Records that another VM or data centre has no transfers here.
-    pub(crate) fn clear_peer(&mut self, source: LoadSource) {
+    pub(crate) fn clear_peer_transfers(&mut self, source: LoadSource) {
         self.peers.remove(&source);
     }
 }
--- a/crates/decide/src/kept/transfer_plan.rs
+++ b/crates/decide/src/kept/transfer_plan.rs
@@ -1,10 +1,10 @@
 //! Plans which segments of a prompt an engine fetches from stores, and which it saves there.
 //!
 //! Invariant: a segment is fetched only from a store that has reported it complete, and only if the transfer
-//! is expected to take less time than prefilling it. A segment is saved by one request only: it goes to the
-//! fastest store with free space, unless a store contains or expects it. The last segment belongs to one
-//! request and is not saved. Nothing is saved outside the prompt's home regions; a fetch from outside
-//! transfers the segment to an engine, which is in one.
+//! is expected to take less time than prefilling it, or little more time at a lower price. A segment is saved
+//! by one request only: it goes to the fastest store with free space, unless a store contains or expects it.
+//! The last segment belongs to one request and is not saved. Nothing is saved outside the prompt's home
+//! regions; a fetch from outside transfers the segment to an engine, which is in one.
 
 use crate::salted_key;
 use crate::{EndpointKey, FleetTable, HomeRegions, PromptSegment, StoreRow};
@@ -24,13 +24,13 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TransferPlan {
     /// Tokens estimated to be cached there.
-    pub kept_tokens: u64,
+    pub cached_tokens: u64,
     /// Further tokens that are transferred there.
-    pub moved_tokens: u64,
+    pub transferred_tokens: u64,
     /// Tokens beyond the cached ones that stores contain, transferred or not.
-    pub held_tokens: u64,
+    pub stored_tokens: u64,
     /// Tokens of shared segments that are prefilled there all the same.
-    pub reread_tokens: u64,
+    pub recomputed_tokens: u64,
     /// Expected time of these transfers, in microseconds.
     pub transfer_time_micros: f64,
     /// Store from which each segment may be fetched.
@@ -41,13 +41,13 @@
 
 impl TransferPlan {
     /// Returns the stores that segments are fetched from, with the tokens of each segment.
-    pub fn moves<'a>(
+    pub fn store_transfers<'a>(
         &'a self,
         segments: &'a [PromptSegment],
     ) -> impl Iterator<Item = (EndpointKey, u64)> + 'a {
         let mut tokens_before = 0;
         self.fetches.iter().zip(segments).filter_map(move |(store, segment)| {
-            let is_cached = tokens_before < self.kept_tokens;
+            let is_cached = tokens_before < self.cached_tokens;
             tokens_before += u64::from(segment.tokens);
             store.filter(|_| !is_cached).map(|store| (store, u64::from(segment.tokens)))
         })
@@ -62,7 +62,7 @@
     pub(crate) fn find(table: &FleetTable, segments: &[PromptSegment], salt: u64, now: Moment) -> Self {
         let holders = segments.iter().map(|segment| {
             let key = salted_key(segment.key, salt);
-            let stores = table.stores().filter(|(_, row)| row.holds(key, segment.tokens, now));
+            let stores = table.stores().filter(|(_, row)| row.contains(key, segment.tokens, now));
             stores.map(|(store, _)| store).collect()
         });
         Self(holders.collect())
@@ -99,7 +99,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TransferTerms {
     /// Time in which the engine prefills a token, in microseconds.
-    pub read_micros: f64,
+    pub prefill_micros: f64,
     /// The request's latency objective, in microseconds.
     pub objective_micros: f64,
 }
@@ -113,20 +113,20 @@
     terms: TransferTerms,
 ) -> TransferPlan {
     let mut plan = TransferPlan {
-        kept_tokens: segments[..cached_count].iter().map(|segment| u64::from(segment.tokens)).sum(),
+        cached_tokens: segments[..cached_count].iter().map(|segment| u64::from(segment.tokens)).sum(),
         ..TransferPlan::default()
     };
     let mut is_unbroken = true;
     let shared_count = segments.len().saturating_sub(1);
     for (index, (fastest, segment)) in transfers.0.iter().zip(segments).enumerate().skip(cached_count) {
         let tokens = u64::from(segment.tokens);
-        plan.held_tokens += if fastest.is_some() { tokens } else { 0 };
+        plan.stored_tokens += if fastest.is_some() { tokens } else { 0 };
         is_unbroken &= is_transferred(*fastest, segment, terms);
         if let Some((_, micros)) = fastest.filter(|_| is_unbroken) {
-            plan.moved_tokens += tokens;
+            plan.transferred_tokens += tokens;
             plan.transfer_time_micros += micros;
         } else if index < shared_count {
-            plan.reread_tokens += tokens;
+            plan.recomputed_tokens += tokens;
         }
     }
     plan
@@ -158,7 +158,7 @@
 }
 
 fn is_worth_transferring(transfer_time_micros: f64, tokens: u64, terms: TransferTerms) -> bool {
-    let recompute_micros = tokens as f64 * terms.read_micros;
+    let recompute_micros = tokens as f64 * terms.prefill_micros;
     let priced_micros = recompute_micros + tokens as f64 * RECOMPUTE_MICROS_PER_TOKEN;
     transfer_time_micros < recompute_micros
         || transfer_time_micros < priced_micros.min(terms.objective_micros * LONG_TRANSFER_FRACTION)
@@ -204,12 +204,12 @@
     now: Moment,
 ) -> Option<EndpointKey> {
     let save_micros = |row: &StoreRow| {
-        row.spec.first_millis * 1_000.0
+        row.spec.transfer_latency_millis * 1_000.0
             + f64::from(tokens) * row.spec.token_bytes as f64 * 8.0 / row.spec.link_mbps.max(1.0)
     };
     let candidates: Vec<_> = table
         .stores()
-        .filter(|(_, row)| row.is_heard(now) && row.has_capacity(tokens))
+        .filter(|(_, row)| row.is_reachable(now) && row.has_capacity(tokens))
         .filter(|(_, row)| table.is_home(target.homes, &row.spec.data_centre))
         .collect();
     let fastest = candidates.iter().map(|(_, row)| save_micros(row)).min_by(f64::total_cmp)?;
--- a/crates/decide/src/quarantine/endpoint_crash.rs
+++ b/crates/decide/src/quarantine/endpoint_crash.rs
@@ -9,11 +9,11 @@
     /// Identifies one start of the endpoint.
     pub start: EndpointKey,
     /// Short digest of its address.
-    pub place: u64,
+    pub address_digest: u64,
     /// Short digest of the service's name.
     pub service: u64,
     /// Number of endpoints of the service at that time, including this one.
-    pub among: u32,
+    pub service_size: u32,
     /// When it crashed.
     pub at: Moment,
 }
@@ -24,7 +24,7 @@
     /// The request.
     pub request: RequestKey,
     /// The crash.
-    pub ending: EndpointCrash,
+    pub crash: EndpointCrash,
     /// Time for which the endpoint had been running the request, in microseconds: since it began to answer,
     /// or else since the request was sent.
     pub age_micros: u64,
--- a/crates/decide/src/quarantine/request_quarantine.rs
+++ b/crates/decide/src/quarantine/request_quarantine.rs
@@ -4,7 +4,7 @@
 //! quarantine that one of them began without having received its evidence.
 
 use crate::{
-    CrashHistory, CrashReport, CrashVerdict, ENDINGS_LEAST, EndpointCrash, QuarantineMessage,
+    CrashHistory, CrashReport, CrashVerdict, EndpointCrash, MIN_CRASHES_PER_VERDICT, QuarantineMessage,
     QuarantinePhase, QuarantineTable, QuarantinedRequest, RequestKey,
 };
 
@@ -15,7 +15,7 @@
 /// for evidence and 30 for quarantines, and only while there are any.
 const REPEAT_INTERVAL_MILLIS: u64 = 1_000;
 
-/// Delay between the first evidence and its evaluation. Requests that were running at the same crash are
+/// Delay between the report with which a request may be fatal and its evaluation. Requests that were running at the same crash are
 /// reported one after the other, within 20 ms by VMs of one data centre and 140 ms across five, and the first
 /// reported must not look more suspicious than the others.
 const EVIDENCE_DELAY_MILLIS: u64 = 150;
@@ -87,15 +87,15 @@
     /// let mut quarantine = RequestQuarantine::default();
     /// let message = QuarantineMessage::Held { request, round: 1, endings: 3, rest_micros: 1_000 };
     /// assert!(quarantine.apply_quarantine_message(&message, Moment(0)).0);
-    /// assert!(quarantine.held(request, Moment(999)).is_some());
-    /// assert!(quarantine.held(request, Moment(1_000)).is_none());
+    /// assert!(quarantine.quarantined(request, Moment(999)).is_some());
+    /// assert!(quarantine.quarantined(request, Moment(1_000)).is_none());
     /// ```
-    pub fn held(&self, request: RequestKey, now: Moment) -> Option<QuarantinedRequest> {
-        self.table.held(request, now)
+    pub fn quarantined(&self, request: RequestKey, now: Moment) -> Option<QuarantinedRequest> {
+        self.table.quarantined(request, now)
     }
 
     /// Whether there is evidence against a request, or a row of it.
-    pub fn knows(&self, request: RequestKey) -> bool {
+    pub fn has_records(&self, request: RequestKey) -> bool {
         self.table.contains(request) || self.history.crashes_of(request) > 0
     }
 
@@ -105,8 +105,8 @@
     }
 
     /// Whether one more crash may put a request in quarantine.
-    pub fn is_close(&self, request: RequestKey) -> bool {
-        self.table.is_on_probation(request) || self.history.crashes_of(request) + 1 >= ENDINGS_LEAST
+    pub fn is_near_threshold(&self, request: RequestKey) -> bool {
+        self.table.is_on_probation(request) || self.history.crashes_of(request) + 1 >= MIN_CRASHES_PER_VERDICT
     }
 
     /// Returns all requests that are or were quarantined.
@@ -120,17 +120,17 @@
     }
 
     /// Records the crash of an endpoint, whatever it was running.
-    pub fn record_crash(&mut self, ending: EndpointCrash) {
-        self.history.record_crash(ending);
+    pub fn record_crash(&mut self, crash: EndpointCrash) {
+        self.history.record_crash(crash);
     }
 
     /// Adds a report; returns whether it is new.
-    pub fn take_report(&mut self, report: &CrashReport, now: Moment) -> bool {
+    pub fn record_report(&mut self, report: &CrashReport, now: Moment) -> bool {
         let is_new = self.history.add_report(report);
         let request = report.request;
-        let may_be_fatal =
-            self.history.crashes_of(request) >= ENDINGS_LEAST || self.table.is_on_probation(request);
-        if is_new && self.table.held(request, now).is_some() {
+        let may_be_fatal = self.history.crashes_of(request) >= MIN_CRASHES_PER_VERDICT
+            || self.table.is_on_probation(request);
+        if is_new && self.table.quarantined(request, now).is_some() {
             self.history.mark_explained(request);
         } else if is_new && may_be_fatal {
             self.pending_evaluations.entry(request).or_insert(now.after_millis(EVIDENCE_DELAY_MILLIS));
@@ -180,9 +180,15 @@
         let before = |micros: u64| Moment(now.0.saturating_sub(micros));
         match *message {
             QuarantineMessage::Ended { request, start, place, service, among, age_micros, ago_micros } => {
-                let ending = EndpointCrash { start, place, service, among, at: before(ago_micros) };
-                let report = CrashReport { request, ending, age_micros };
-                (self.take_report(&report, now), Vec::new())
+                let crash = EndpointCrash {
+                    start,
+                    address_digest: place,
+                    service,
+                    service_size: among,
+                    at: before(ago_micros),
+                };
+                let report = CrashReport { request, crash, age_micros };
+                (self.record_report(&report, now), Vec::new())
             }
             QuarantineMessage::Answered { request, ago_micros } => {
                 (self.record_answered(request, before(ago_micros)), Vec::new())
@@ -203,17 +209,17 @@
     }
 
     /// Applies a quarantine that is in the store: it lasts at most its full duration from now on.
-    pub fn take_stored(
+    pub fn adopt_stored(
         &mut self,
         request: RequestKey,
-        round_and_endings: (u32, u32),
+        round_and_crashes: (u32, u32),
         now: Moment,
     ) -> Vec<QuarantineChange> {
-        self.adopt(request, round_and_endings, Moment::NEVER, true, now).1
+        self.adopt(request, round_and_crashes, Moment::NEVER, true, now).1
     }
 
     /// Releases a request and discards the evidence; returns the number of its quarantine.
-    pub fn lift(&mut self, request: RequestKey, now: Moment) -> Option<u32> {
+    pub fn release(&mut self, request: RequestKey, now: Moment) -> Option<u32> {
         self.history.discard(request);
         self.table.release(request, now)
     }
@@ -224,8 +230,8 @@
     }
 
     /// Schedules a write of all quarantines, since the store may have lost them.
-    pub fn write_all_again(&mut self) {
-        self.table.write_all_again();
+    pub fn rewrite_all(&mut self) {
+        self.table.rewrite_all();
     }
 
     /// Records when a row is to be written or deleted again: never if that is done.
@@ -252,22 +258,22 @@
         let reports = self.history.reports();
         let report = reports.get(schedule.next_report % reports.len().max(1));
         schedule.next_report = schedule.next_report.wrapping_add(1);
-        let held = self.table.next_to_propagate(schedule.last_request);
-        schedule.last_request = held.map(|(request, _)| request);
+        let quarantined = self.table.next_to_propagate(schedule.last_request);
+        schedule.last_request = quarantined.map(|(request, _)| request);
         let report = report.map(|report| QuarantineMessage::of_report(report, now));
-        let held = held.map(|(request, row)| message_of(request, &row, now));
-        report.into_iter().chain(held).collect()
+        let quarantined = quarantined.map(|(request, row)| message_of(request, &row, now));
+        report.into_iter().chain(quarantined).collect()
     }
 
     fn adopt(
         &mut self,
         request: RequestKey,
-        (round, endings): (u32, u32),
+        (round, crashes): (u32, u32),
         until: Moment,
         is_stored: bool,
         now: Moment,
     ) -> (bool, Vec<QuarantineChange>) {
-        if !self.table.adopt(request, (round, endings), until, is_stored, now) {
+        if !self.table.adopt(request, (round, crashes), until, is_stored, now) {
             return (false, Vec::new());
         }
         self.history.mark_explained(request);
@@ -281,7 +287,7 @@
         if !is_fatal {
             return Vec::new();
         }
-        let Some(round) = self.table.begin(request, verdict.endings as u32, now) else { return Vec::new() };
+        let Some(round) = self.table.begin(request, verdict.crashes as u32, now) else { return Vec::new() };
         self.history.mark_explained(request);
         let mut changes = vec![QuarantineChange::Begun { request, round, verdict }];
         changes.extend(self.release_exonerated(now));
@@ -290,14 +296,14 @@
 
     /// Releases requests whose crashes are all attributed to others by now.
     fn release_exonerated(&mut self, now: Moment) -> Vec<QuarantineChange> {
-        let held = self.table.rows().filter(|(_, row)| row.phase == QuarantinePhase::Held);
-        let exonerated = held.filter(|(request, _)| {
+        let quarantined = self.table.rows().filter(|(_, row)| row.phase == QuarantinePhase::Quarantined);
+        let exonerated = quarantined.filter(|(request, _)| {
             let verdict = self.history.verdict(*request);
-            verdict.endings > 0 && verdict.counted == 0
+            verdict.crashes > 0 && verdict.counted == 0
         });
         let exonerated: Vec<_> = exonerated.map(|(request, _)| request).collect();
         let released = exonerated.into_iter().filter_map(|request| {
-            let round = self.lift(request, now)?;
+            let round = self.release(request, now)?;
             Some(QuarantineChange::Lifted { request, round })
         });
         released.collect()
@@ -306,10 +312,10 @@
 
 /// Builds the message about a row: its quarantine, or its release.
 fn message_of(request: RequestKey, row: &QuarantinedRequest, now: Moment) -> QuarantineMessage {
-    let QuarantinedRequest { round, endings, until, .. } = *row;
+    let QuarantinedRequest { round, crashes: endings, until, .. } = *row;
     match row.phase {
-        QuarantinePhase::Lifted => QuarantineMessage::Lifted { request, round },
-        QuarantinePhase::Held | QuarantinePhase::Trial => {
+        QuarantinePhase::Released => QuarantineMessage::Lifted { request, round },
+        QuarantinePhase::Quarantined | QuarantinePhase::Probation => {
             QuarantineMessage::Held { request, round, endings, rest_micros: until.micros_since(now) }
         }
     }
--- a/crates/decide/src/rollout/rollout_table.rs
+++ b/crates/decide/src/rollout/rollout_table.rs
@@ -18,13 +18,13 @@
 
 /// Counts to propagate to other VMs.
 #[derive(Clone, Debug, Default)]
-pub struct WaitingSums {
+pub struct PendingSums {
     /// Sums for the VMs of this data centre.
-    pub near: RolloutSums,
+    pub local: RolloutSums,
     /// Sums for other data centres.
-    pub far: RolloutSums,
+    pub remote: RolloutSums,
     /// Sums of other data centres, to be relayed to the VMs of this one.
-    pub passed: RolloutSums,
+    pub relayed: RolloutSums,
 }
 
 /// Status of a service's rollout in the store, for the operator.
@@ -38,14 +38,14 @@
 
 /// Random draw whether a request is a canary.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TestDraw {
+pub struct CanaryDraw {
     /// A random number in `0.0..1.0`.
     pub number: f64,
     /// Whether the request was counted among those beyond the share.
     pub has_slack: bool,
 }
 
-impl TestDraw {
+impl CanaryDraw {
     /// Draw of a request that is never a canary, such as a second send.
     pub const NONE: Self = Self { number: 1.0, has_slack: false };
 }
@@ -55,11 +55,11 @@
 pub struct RolloutTable {
     runs: BTreeMap<String, RolloutRun>,
     /// Position of each service's record in the store.
-    pub records_at: BTreeMap<String, StorePosition>,
+    pub record_positions: BTreeMap<String, StorePosition>,
     /// Status of each service, for the operator.
     pub statuses: BTreeMap<String, StoredStatus>,
     /// Counts to propagate to other VMs.
-    pub sums: WaitingSums,
+    pub sums: PendingSums,
 }
 
 impl RolloutTable {
@@ -98,7 +98,7 @@
         let run = RolloutRun { evidence, slack_sent, ..RolloutRun::new(order, position, now) };
         self.runs.insert(run.order.service.clone(), run);
         let positions: Vec<_> = self.runs.values().map(|run| run.position).collect();
-        for sums in [&mut self.sums.near, &mut self.sums.far, &mut self.sums.passed] {
+        for sums in [&mut self.sums.local, &mut self.sums.remote, &mut self.sums.relayed] {
             sums.retain_orders(|order| positions.contains(&order));
         }
         true
@@ -145,13 +145,14 @@
         &mut self,
         service: &str,
         terms: &ExposureTerms,
-        draw: &mut TestDraw,
+        draw: &mut CanaryDraw,
         last_canary: impl FnOnce(&str, f64) -> Option<u64>,
         slack_share: impl FnOnce(EndpointKey, &RateTerms) -> u64,
     ) -> Vec<VersionSplit> {
         // Endpoints of other versions that start after a success don't belong to this rollout.
         let run = self.runs.get_mut(service);
-        let Some(run) = run.filter(|run| run.has_others && run.phase != RolloutPhase::Succeeded) else {
+        let Some(run) = run.filter(|run| run.has_other_versions && run.phase != RolloutPhase::Succeeded)
+        else {
             return vec![VersionSplit::Any];
         };
         let target: Arc<str> = run.order.target.as_str().into();
@@ -178,8 +179,8 @@
         };
         let counts = run.evidence.observe(route, answer);
         let key = (short_digest(service), run.position, route);
-        self.sums.near.add(key, counts);
-        self.sums.far.add(key, counts);
+        self.sums.local.add(key, counts);
+        self.sums.remote.add(key, counts);
         run.mark_suspected()
     }
 
--- a/crates/decide/src/weights/publication_record.rs
+++ b/crates/decide/src/weights/publication_record.rs
@@ -7,13 +7,13 @@
 use serde::{Deserialize, Serialize};
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 
-/// Age difference above which a record is rewritten, in milliseconds: VMs receive the same publication some
-/// milliseconds apart.
+/// A record is rewritten if a publication turns out to be earlier than recorded by more than this, in
+/// milliseconds: VMs receive the same publication some milliseconds apart.
 const REWRITE_THRESHOLD_MILLIS: u64 = 200;
 
 /// Publication time of one version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamingTime {
+pub struct PublicationTime {
     /// Number of the version.
     pub version: u64,
     /// Reading of the engines' clock at its publication, in milliseconds.
@@ -26,7 +26,7 @@
     /// Short digest of the model's name.
     pub model: u64,
     /// Publications, oldest first.
-    pub namings: Vec<NamingTime>,
+    pub namings: Vec<PublicationTime>,
 }
 
 impl PublicationRecord {
@@ -37,7 +37,7 @@
     /// use spanfold_decide::{PublishedVersion, PublishedWeights, PublicationRecord};
     /// use spanfold_entity::Moment;
     /// let mut weights = PublishedWeights::default();
-    /// weights.note(PublishedVersion { version: 2, since: Moment(4_000) }, 10, Moment(9_000));
+    /// weights.record_publication(PublishedVersion { version: 2, since: Moment(4_000) }, 10, Moment(9_000));
     /// let record = PublicationRecord::new(7, &weights, 100, Moment(9_000));
     /// assert_eq!(record.namings[0].clock_millis, 95);
     /// assert_eq!(record.ages(102).next(), Some((2, 7_000)));
@@ -45,7 +45,7 @@
     pub fn new(model: u64, weights: &PublishedWeights, clock_millis: u64, now: Moment) -> Self {
         let namings = weights.versions().iter().map(|row| {
             let age_millis = now.micros_since(row.since) / MICROS_PER_MILLI;
-            NamingTime { version: row.version, clock_millis: clock_millis.saturating_sub(age_millis) }
+            PublicationTime { version: row.version, clock_millis: clock_millis.saturating_sub(age_millis) }
         });
         Self { model, namings: namings.collect() }
     }
@@ -53,7 +53,7 @@
     /// Returns each version with its age in microseconds, at reading `clock_millis` of the engines' clock.
     pub fn ages(&self, clock_millis: u64) -> impl Iterator<Item = (u64, u64)> {
         let age_micros =
-            move |row: &NamingTime| clock_millis.saturating_sub(row.clock_millis) * MICROS_PER_MILLI;
+            move |row: &PublicationTime| clock_millis.saturating_sub(row.clock_millis) * MICROS_PER_MILLI;
         self.namings.iter().map(move |row| (row.version, age_micros(row)))
     }
 
--- a/crates/decide/tests/fleet_table.rs
+++ b/crates/decide/tests/fleet_table.rs
@@ -50,7 +50,7 @@
     // An expired grace period is not extended.
     table.extend_grace(at(1), at(5_000));
     assert_eq!(is_departing(&table, "i-1", at(2)), Some(true));
-    assert_eq!(table.sweep(at(3)).gone, [EndpointKey::of("i-1")]);
+    assert_eq!(table.sweep(at(3)).removed, [EndpointKey::of("i-1")]);
     assert!(!table.apply_entry(entry("i-1", 1), Moment(0)));
     assert_eq!(is_departing(&table, "i-1", at(4)), None);
 }
@@ -61,7 +61,7 @@
     table.apply_entry(entry("i-1", 1), Moment(0));
     table.mark_entry_missing("i-1", Moment(0));
     assert_eq!(is_departing(&table, "i-1", at(1)), Some(true));
-    assert_eq!(table.sweep(at(3)).gone, [EndpointKey::of("i-1")]);
+    assert_eq!(table.sweep(at(3)).removed, [EndpointKey::of("i-1")]);
     assert!(table.apply_entry(entry("i-1", 1), at(4)));
     assert_eq!(is_departing(&table, "i-1", at(4)), Some(false));
     // A late write of a stopped endpoint expires before the ejection is over.
@@ -120,11 +120,11 @@
     table.apply_entry(entry("i-1", 1), Moment(0));
     let key = EndpointKey::of("i-1");
     assert!(!table.is_failing("dc-a", at(0)));
-    table.learn(key, SendOutcome::Broken, at(100));
+    table.record_outcome(key, SendOutcome::Broken, at(100));
     assert!(table.is_failing("dc-a", at(200)));
     assert!(!table.is_failing("dc-b", at(200)));
     assert!(!table.is_failing("dc-a", at(4_000)), "it is tried again");
-    table.learn(key, SendOutcome::Answered, at(300));
+    table.record_outcome(key, SendOutcome::Answered, at(300));
     assert!(!table.is_failing("dc-a", at(400)));
 }
 
@@ -137,7 +137,7 @@
     let mut table = FleetTable::default();
     table.apply_entry(entry("i-1", 1), Moment(0));
     let (key, local, remote) = (EndpointKey::of("i-1"), VmKey::of("near"), VmKey::of("far"));
-    table.take(key, running(1), &[], 0);
+    table.reserve(key, running(1), &[], 0);
     table.apply_peer_loads(LoadSource::Vm(local), &[(key, running(2))], at(0));
     table.apply_peer_loads(LoadSource::Vm(remote), &[(key, running(4))], at(0));
     table.apply_peer_loads(LoadSource::data_centre("dc-b"), &[(key, running(8))], at(0));
@@ -165,7 +165,7 @@
     let mut table = FleetTable::default();
     table.apply_entry(entry("i-1", 1), Moment(0));
     let key = EndpointKey::of("i-1");
-    let load = |running| LoadCount { running, unread_tokens: 10, memory_tokens: 100 };
+    let load = |running| LoadCount { running, pending_prefill_tokens: 10, memory_tokens: 100 };
     for (source, running) in [
         (LoadSource::Vm(VmKey::of("vm-2")), 1),
         (LoadSource::data_centre("dc-b"), 2),
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -38,7 +38,7 @@
         data_centre: "dc-a".to_owned(),
         tokens: 100_000,
         link_mbps: 29_000.0,
-        first_millis: 6.0,
+        transfer_latency_millis: 6.0,
         token_bytes: 18_432,
         max_long_polls: 12,
     };
@@ -68,16 +68,16 @@
     PlacementRequest {
         service: "llm",
         data_centre: "dc-a",
-        silent: &[],
-        parts: &SEGMENTS,
+        unreachable_data_centres: &[],
+        segments: &SEGMENTS,
         prompt_tokens: 9_000,
         output_tokens: 10,
         objective_millis: 500,
         bytes: 18_000,
         model: Some("m"),
-        wanted: None,
+        required_weights: None,
         memory_fraction: 1.0,
-        wall: "shared",
+        isolation_scope: "shared",
         exclude: &[],
         versions: &VersionSplit::Any,
         homes: HomeRegions::default(),
@@ -86,8 +86,8 @@
     }
 }
 
-fn load(unread_tokens: u64, memory_tokens: u64) -> LoadCount {
-    LoadCount { running: 1, unread_tokens, memory_tokens }
+fn load(pending_prefill_tokens: u64, memory_tokens: u64) -> LoadCount {
+    LoadCount { running: 1, pending_prefill_tokens, memory_tokens }
 }
 
 fn key(id: &str) -> EndpointKey {
@@ -101,11 +101,11 @@
 #[test]
 fn the_engine_with_less_queued_work_is_chosen_whichever_vm_sent_it() {
     let mut table = two_engines();
-    table.take(key("i-1"), load(5_000, 5_000), &[], 0);
+    table.reserve(key("i-1"), load(5_000, 5_000), &[], 0);
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
     table.apply_peer_loads(LoadSource::Vm(VmKey::of("vm-2")), &[(key("i-2"), load(9_000, 9_000))], NOW);
     assert_eq!(chosen(&table, &request()).key, key("i-1"));
-    // A peer whose silence timeout has passed is departed, and its requests no longer count.
+    // The loads of a peer that sends no more digests expire, and its requests no longer count.
     let later = NOW.after_millis(5_000);
     assert_eq!(place(&table, &request(), later).unwrap().key, key("i-2"));
 }
@@ -113,14 +113,14 @@
 #[test]
 fn an_engine_with_free_capacity_precedes_one_with_a_shorter_queue() {
     let mut table = two_engines();
-    table.take(key("i-1"), load(0, MEMORY_TOKENS - 5_000), &[], 0);
-    table.take(key("i-2"), load(9_000, 9_000), &[], 0);
+    table.reserve(key("i-1"), load(0, MEMORY_TOKENS - 5_000), &[], 0);
+    table.reserve(key("i-2"), load(9_000, 9_000), &[], 0);
     let choice = chosen(&table, &request());
     assert_eq!((choice.key, choice.excess_tokens), (key("i-2"), 0));
     // A request that may fill more of the memory finds free capacity there.
     let choice = chosen(&table, &PlacementRequest { memory_fraction: 1.15, ..request() });
     assert_eq!((choice.key, choice.excess_tokens), (key("i-1"), 0));
-    table.take(key("i-2"), load(0, MEMORY_TOKENS), &[], 0);
+    table.reserve(key("i-2"), load(0, MEMORY_TOKENS), &[], 0);
     assert_eq!(chosen(&table, &request()).excess_tokens, 9_010 - 5_000);
 }
 
@@ -132,19 +132,19 @@
     let excluded = [key("i-2")];
     assert!(place(&table, &PlacementRequest { exclude: &excluded, ..request() }, NOW).is_none());
     // An ejected endpoint is better than none.
-    table.learn(key("i-2"), SendOutcome::Broken, NOW);
+    table.record_outcome(key("i-2"), SendOutcome::Broken, NOW);
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
 }
 
 #[test]
 fn a_broken_endpoint_is_tried_again_by_one_request_at_a_time() {
     let mut table = two_engines();
-    table.learn(key("i-1"), SendOutcome::Broken, NOW);
-    table.take(key("i-2"), load(20_000, 20_000), &[], 0);
+    table.record_outcome(key("i-1"), SendOutcome::Broken, NOW);
+    table.reserve(key("i-2"), load(20_000, 20_000), &[], 0);
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
     let later = NOW.after_millis(800);
     assert_eq!(place(&table, &request(), later).unwrap().key, key("i-1"));
-    table.take(key("i-1"), load(0, 0), &[], 0);
+    table.reserve(key("i-1"), load(0, 0), &[], 0);
     assert_eq!(place(&table, &request(), later).unwrap().key, key("i-2"));
 }
 
@@ -156,15 +156,20 @@
     // Old weights only raise the cost, until they are overdue.
     let small = PlacementRequest { bytes: 100, ..request() };
     assert_eq!(
-        chosen(&table, &PlacementRequest { wanted: Some(&not_overdue), ..small.clone() }).key,
+        chosen(&table, &PlacementRequest { required_weights: Some(&not_overdue), ..small.clone() }).key,
         key("i-2")
     );
     let only = [key("i-2")];
-    let at_old_weights = PlacementRequest { wanted: Some(&overdue), exclude: &only, ..small.clone() };
+    let at_old_weights =
+        PlacementRequest { required_weights: Some(&overdue), exclude: &only, ..small.clone() };
     assert!(place(&table, &at_old_weights, NOW).is_none());
     assert!(
-        place(&table, &PlacementRequest { wanted: Some(&not_overdue), exclude: &only, ..small }, NOW)
-            .is_some()
+        place(
+            &table,
+            &PlacementRequest { required_weights: Some(&not_overdue), exclude: &only, ..small },
+            NOW
+        )
+        .is_some()
     );
 }
 
@@ -174,12 +179,12 @@
     // are allowed.
     let mut table = table(&[entry("i-1", "dc-a", 1)]);
     let required = RequiredWeights { newest: 2, bounds: vec![(2, NOW.after_millis(2_500))] };
-    let request = PlacementRequest { wanted: Some(&required), ..request() };
+    let request = PlacementRequest { required_weights: Some(&required), ..request() };
     assert!(place(&table, &request, NOW).is_some());
     // The bound is near.
     assert!(place(&table, &request, NOW.after_millis(1_700)).is_none());
     // Much work is queued there before it.
-    table.take(key("i-1"), load(45_000, 20_000), &[], 0);
+    table.reserve(key("i-1"), load(45_000, 20_000), &[], 0);
     assert!(place(&table, &request, NOW).is_none());
 }
 
@@ -187,9 +192,9 @@
 fn a_request_stays_in_its_data_centre_unless_waiting_costs_more() {
     let mut table = table(&[entry("i-1", "dc-a", 1), entry("i-2", "dc-b", 1)]);
     assert_eq!(chosen(&table, &request()).key, key("i-1"));
-    table.take(key("i-1"), load(1_000, 1_000), &[], 0);
+    table.reserve(key("i-1"), load(1_000, 1_000), &[], 0);
     assert_eq!(chosen(&table, &request()).key, key("i-1"));
-    table.take(key("i-1"), load(9_000, 9_000), &[], 0);
+    table.reserve(key("i-1"), load(9_000, 9_000), &[], 0);
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
 }
 
@@ -198,8 +203,8 @@
     let mut table = two_engines();
     let now = NOW;
     let change = |segment, tokens| CacheChange {
-        salt: "shared.m.1".to_owned(),
-        part: segment,
+        cache_salt: "shared.m.1".to_owned(),
+        segment,
         segment_text: segment.to_string(),
         tokens,
     };
@@ -209,29 +214,33 @@
         ..CacheUpdate::default()
     };
     let before = chosen(&table, &request());
-    assert_eq!((before.kept.moved_tokens, before.load.unread_tokens), (0, 9_000));
+    assert_eq!((before.transfers.transferred_tokens, before.load.pending_prefill_tokens), (0, 9_000));
     // Segments that no store contains are to be saved, except the request's own one.
-    assert_eq!(before.kept.saves, [None, None, None], "no update received from the store yet");
+    assert_eq!(before.transfers.saves, [None, None, None], "no update received from the store yet");
     table.store_mut(key("kept")).unwrap().replace(&update, now.after_millis(1_000));
     let after = chosen(&table, &request());
-    assert_eq!((after.kept.moved_tokens, after.load.unread_tokens), (7_500, 1_500));
-    assert_eq!(after.kept.fetches, [Some(key("kept")), Some(key("kept")), None]);
+    assert_eq!((after.transfers.transferred_tokens, after.load.pending_prefill_tokens), (7_500, 1_500));
+    assert_eq!(after.transfers.fetches, [Some(key("kept")), Some(key("kept")), None]);
     assert!(after.expected_micros < before.expected_micros);
-    let isolated = chosen(&table, &PlacementRequest { wall: "account:one", ..request() });
-    assert_eq!(isolated.kept.moved_tokens, 0);
-    assert_eq!(isolated.kept.saves, [Some(key("kept")), Some(key("kept")), None]);
+    let isolated = chosen(&table, &PlacementRequest { isolation_scope: "account:one", ..request() });
+    assert_eq!(isolated.transfers.transferred_tokens, 0);
+    assert_eq!(isolated.transfers.saves, [Some(key("kept")), Some(key("kept")), None]);
 }
 
 #[test]
 fn a_segment_behind_a_gap_is_not_transferred() {
     let mut table = two_engines();
-    let second_segment =
-        CacheChange { salt: "shared.m.1".to_owned(), part: 2, segment_text: "2".to_owned(), tokens: 5_000 };
+    let second_segment = CacheChange {
+        cache_salt: "shared.m.1".to_owned(),
+        segment: 2,
+        segment_text: "2".to_owned(),
+        tokens: 5_000,
+    };
     let update = CacheUpdate { incarnation: 1, changes: vec![second_segment], ..CacheUpdate::default() };
     table.store_mut(key("kept")).unwrap().replace(&update, NOW.after_millis(1_000));
     let choice = chosen(&table, &request());
-    assert_eq!((choice.kept.moved_tokens, choice.kept.held_tokens), (0, 5_000));
-    assert_eq!(choice.kept.fetches, [None, None, None]);
+    assert_eq!((choice.transfers.transferred_tokens, choice.transfers.stored_tokens), (0, 5_000));
+    assert_eq!(choice.transfers.fetches, [None, None, None]);
 }
 
 /// A slow link can make the transfer of a shared segment take longer than its prefill. Callers with a long
@@ -240,11 +249,11 @@
     long_objective = { 1_200, 7_500 },
     short_objective = { 500, 0 },
 )]
-fn a_transfer_may_take_a_fraction_of_the_objective(objective_millis: u64, moved_tokens: u64) {
+fn a_transfer_may_take_a_fraction_of_the_objective(objective_millis: u64, transferred_tokens: u64) {
     let mut table = two_engines();
     let change = |segment: u64, tokens| CacheChange {
-        salt: "shared.m.1".to_owned(),
-        part: segment,
+        cache_salt: "shared.m.1".to_owned(),
+        segment,
         segment_text: segment.to_string(),
         tokens,
     };
@@ -253,9 +262,9 @@
     let store = table.store_mut(key("kept")).unwrap();
     store.replace(&update, NOW.after_millis(1_000));
     // Transfers of other VMs keep the link busy.
-    store.set_peer(LoadSource::Vm(VmKey(7)), 230_000, None, NOW);
+    store.set_peer_transfers(LoadSource::Vm(VmKey(7)), 230_000, None, NOW);
     let choice = chosen(&table, &PlacementRequest { objective_millis, ..request() });
-    assert_eq!(choice.kept.moved_tokens, moved_tokens);
+    assert_eq!(choice.transfers.transferred_tokens, transferred_tokens);
 }
 
 #[test]
@@ -263,16 +272,16 @@
     let mut table = two_engines();
     let salt = spanfold_decide::short_digest("shared.m.1");
     table.record_segments(key("i-2"), &SEGMENTS[..2], salt);
-    table.take(key("i-2"), load(3_000, 3_000), &[], 0);
+    table.reserve(key("i-2"), load(3_000, 3_000), &[], 0);
     let choice = chosen(&table, &request());
-    assert_eq!((choice.key, choice.kept.kept_tokens), (key("i-2"), 7_500));
+    assert_eq!((choice.key, choice.transfers.cached_tokens), (key("i-2"), 7_500));
 }
 
 #[test]
 fn a_cordoned_engine_is_skipped() {
     let mut table = two_engines();
     table.cordon_until(key("i-1"), NOW.after_millis(500));
-    table.take(key("i-2"), load(9_000, 9_000), &[], 0);
+    table.reserve(key("i-2"), load(9_000, 9_000), &[], 0);
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
     assert_eq!(place(&table, &request(), NOW.after_millis(600)).unwrap().key, key("i-1"));
 }
@@ -280,13 +289,20 @@
 #[test]
 fn an_unreachable_data_centre_is_skipped_before_connections_fail() {
     let mut table = table(&[entry("i-1", "dc-a", 1), entry("i-2", "dc-b", 1)]);
-    table.take(key("i-1"), load(9_000, 9_000), &[], 0);
+    table.reserve(key("i-1"), load(9_000, 9_000), &[], 0);
     assert_eq!(chosen(&table, &request()).key, key("i-2"));
-    assert_eq!(chosen(&table, &PlacementRequest { silent: &["dc-b"], ..request() }).key, key("i-1"));
+    assert_eq!(
+        chosen(&table, &PlacementRequest { unreachable_data_centres: &["dc-b"], ..request() }).key,
+        key("i-1")
+    );
     // An unreachable data centre is better than none.
     let only = [key("i-1")];
     assert_eq!(
-        chosen(&table, &PlacementRequest { silent: &["dc-b"], exclude: &only, ..request() }).key,
+        chosen(
+            &table,
+            &PlacementRequest { unreachable_data_centres: &["dc-b"], exclude: &only, ..request() }
+        )
+        .key,
         key("i-2")
     );
 }
@@ -326,7 +342,7 @@
         let route = [home.to_owned()];
         let homes = HomeRegions { route: &route, account: &[] };
         let choice = chosen(&table, &PlacementRequest { homes, ..request() });
-        choice.kept.saves.iter().flatten().count()
+        choice.transfers.saves.iter().flatten().count()
     };
     assert!(saves("north") > 0);
     assert_eq!(saves("south"), 0);
--- a/crates/decide/tests/reported_health.rs
+++ b/crates/decide/tests/reported_health.rs
@@ -92,7 +92,7 @@
     for reporter in 0..10 {
         fleet.apply_send_report(vm(reporter), &slow, 0.0, at(reporter * 200));
     }
-    assert!(fleet.row(key(0)).unwrap().pace() > 2.2, "{}", fleet.row(key(0)).unwrap().pace());
+    assert!(fleet.row(key(0)).unwrap().slowdown() > 2.2, "{}", fleet.row(key(0)).unwrap().slowdown());
     // Every seventh VM is itself slower by a factor of 5.5.
     let mut fleet = table(2);
     for reporter in 0..70 {
@@ -100,15 +100,15 @@
         let report = SendReport { pace: Some(slowdown), ..slow };
         fleet.apply_send_report(vm(reporter), &report, 0.0, at(reporter * 200));
     }
-    assert!(fleet.row(key(0)).unwrap().pace() < 1.3, "{}", fleet.row(key(0)).unwrap().pace());
+    assert!(fleet.row(key(0)).unwrap().slowdown() < 1.3, "{}", fleet.row(key(0)).unwrap().slowdown());
 }
 
 #[test]
 fn a_vm_without_answers_and_answers_of_healthy_endpoints_are_not_reported() {
     let mut table = table(2);
-    table.learn(key(0), SendOutcome::Unreached, at(0));
+    table.record_outcome(key(0), SendOutcome::Unreached, at(0));
     assert!(!table.should_propagate(&report(SendOutcome::Unreached), at(0)));
-    table.learn(key(1), SendOutcome::Answered, at(100));
+    table.record_outcome(key(1), SendOutcome::Answered, at(100));
     assert!(table.should_propagate(&report(SendOutcome::Unreached), at(200)));
     assert!(!table.should_propagate(&report(SendOutcome::Unreached), at(3_000)));
     let healthy = SendReport { key: key(1), outcome: SendOutcome::Answered, pace: None, rest_millis: None };
@@ -132,16 +132,16 @@
     let request = PlacementRequest {
         service: "llm",
         data_centre: "dc-a",
-        silent: &[],
-        parts: &segments,
+        unreachable_data_centres: &[],
+        segments: &segments,
         prompt_tokens: 1_700,
         output_tokens: 4,
         objective_millis: 500,
         bytes: 0,
         model: None,
-        wanted: None,
+        required_weights: None,
         memory_fraction: 1.0,
-        wall: "shared",
+        isolation_scope: "shared",
         exclude: &[],
         versions: &VersionSplit::Any,
         homes: HomeRegions::default(),
@@ -161,14 +161,14 @@
     // VM and engine of each send, by the time at which it finishes.
     let mut sends: BTreeMap<u64, Vec<(usize, usize)>> = BTreeMap::new();
     let (mut lost, mut all) = (0, 0);
-    let load = LoadCount { running: 1, unread_tokens: 1_700, memory_tokens: 1_700 };
+    let load = LoadCount { running: 1, pending_prefill_tokens: 1_700, memory_tokens: 1_700 };
     for millis in (0..16_000).step_by(STEP_MILLIS as usize) {
         let now = at(millis);
         for (sender, table) in tables.iter_mut().enumerate() {
             if random.random::<f64>() < 4.5 * STEP_MILLIS as f64 / 1_000.0 {
                 // Loads are not reported here: a VM uses its own loads and a random start.
                 let engine = choose_from(table, random.random_range(0..ENGINES), now);
-                table.take(key(engine), load, &[], 0);
+                table.reserve(key(engine), load, &[], 0);
                 let taken_millis = if engine < UNREACHABLE_ENGINES { CONNECT_FAILURE_MILLIS } else { 100 };
                 sends.entry(millis + taken_millis).or_default().push((sender, engine));
                 all += 1;
@@ -179,7 +179,7 @@
             let outcome =
                 if engine < UNREACHABLE_ENGINES { SendOutcome::Unreached } else { SendOutcome::Answered };
             tables[reporter].release(key(engine), load);
-            tables[reporter].learn(key(engine), outcome, now);
+            tables[reporter].record_outcome(key(engine), outcome, now);
             let report = SendReport { key: key(engine), outcome, pace: None, rest_millis: None };
             if reports_sends && tables[reporter].should_propagate(&report, now) {
                 for (_, table) in tables.iter_mut().enumerate().filter(|(number, _)| *number != reporter) {
--- a/crates/gateway/src/endpoints/end_watch.rs
+++ b/crates/gateway/src/endpoints/crash_detector.rs
@@ -52,12 +52,12 @@
 
 /// Broken sends by endpoint, while it may turn out that the endpoint crashed.
 #[derive(Debug, Default)]
-pub(crate) struct EndWatch(Mutex<HashMap<EndpointKey, CrashSuspicion>>);
+pub(crate) struct CrashDetector(Mutex<HashMap<EndpointKey, CrashSuspicion>>);
 
 /// Becomes true when an endpoint's address has been probed.
 pub(crate) type ProbeCompletion = watch::Receiver<bool>;
 
-impl EndWatch {
+impl CrashDetector {
     /// Adds a send. Returns the completion of its endpoint's probe, and whether to probe it now; none if
     /// there is no free space.
     fn add(
@@ -117,7 +117,7 @@
         send: BrokenSend,
     ) -> Option<ProbeCompletion> {
         let key = send.crash.start;
-        let (completion, is_due) = self.ends.add(endpoint, send, self.now())?;
+        let (completion, is_due) = self.crash_detector.add(endpoint, send, self.now())?;
         if is_due {
             tokio::spawn(probe(Arc::clone(self), key, endpoint.address));
         }
@@ -125,25 +125,23 @@
     }
 
     /// Records that an endpoint crashed, as `sign` shows: its broken sends are evidence.
-    pub(crate) fn record_ended(&self, endpoint: EndpointKey, sign: &'static str) {
-        let Some(suspicion) = self.ends.take(endpoint, self.now()) else { return };
+    pub(crate) fn confirm_crash(&self, endpoint: EndpointKey, sign: &'static str) {
+        let Some(suspicion) = self.crash_detector.take(endpoint, self.now()) else { return };
         log::warn!(endpoint = suspicion.endpoint.id.as_str(), sends = suspicion.sends.len(), sign;
             "endpoint.ended");
         for send in &suspicion.sends {
             let BrokenSend { request, crash, age_micros, .. } = *send;
-            self.take_own_report(
-                &CrashReport { request, ending: crash, age_micros },
-                send,
-                &suspicion.endpoint.id,
-            );
+            self.record_own_crash(&CrashReport { request, crash, age_micros }, send, &suspicion.endpoint.id);
         }
         suspicion.probed.send_replace(true);
     }
 
     /// Records that `started` begins at an address, so that any other endpoint there has crashed.
-    pub(crate) fn note_started_at(&self, address: SocketAddr, started: EndpointKey) {
-        for endpoint in self.ends.endpoints_at(address).into_iter().filter(|endpoint| *endpoint != started) {
-            self.record_ended(endpoint, "another one has its address");
+    pub(crate) fn record_started_at(&self, address: SocketAddr, started: EndpointKey) {
+        for endpoint in
+            self.crash_detector.endpoints_at(address).into_iter().filter(|endpoint| *endpoint != started)
+        {
+            self.confirm_crash(endpoint, "another one has its address");
         }
     }
 }
@@ -153,11 +151,11 @@
         tokio::time::sleep(delay).await;
         let stream = open_stream(address).await;
         if stream.is_err_and(|error| error.kind() == io::ErrorKind::ConnectionRefused) {
-            gateway.record_ended(endpoint, "it refuses connections");
+            gateway.confirm_crash(endpoint, "it refuses connections");
             return;
         }
     }
-    gateway.ends.record_alive(endpoint);
+    gateway.crash_detector.record_alive(endpoint);
 }
 
 /// Converts microseconds to milliseconds, for logs.
--- a/crates/gateway/src/orders/publication_task.rs
+++ b/crates/gateway/src/orders/publication_task.rs
@@ -3,7 +3,7 @@
 //! The records are in the platform's store.
 //!
 //! VMs propagate how long ago each version was published. Once every VM that recorded this has stopped, VMs
-//! that start learn the newest version from the store, but not its age. So the one holder of the right writes
+//! that start read the newest version from the store, but not its age. So the one holder of the right writes
 //! the time of each publication, and a new holder reads it; the other VMs receive it with the holder's load
 //! digests.
 //!
@@ -104,12 +104,12 @@
         }
         let dialect = self.gateway.dialect.store;
         let call = (dialect.range)(PUBLICATION_PREFIX, None);
-        let Some(Ok(page)) = self.link.call("list", &call, dialect.read_range).await else { return false };
+        let Some(Ok(page)) = self.link.call("list", &call, dialect.decode_range).await else { return false };
         let stored: BTreeMap<_, _> = page.items.iter().filter_map(read_record).collect();
         let clock = self.gateway.engine_clock_at(self.gateway.now()).unwrap_or(0);
         for row in stored.values() {
             let ages = row.record.ages(clock).map(|(version, age)| (row.record.model, version, age));
-            self.gateway.apply_named_ages(&ages.collect::<Vec<_>>());
+            self.gateway.apply_publication_ages(&ages.collect::<Vec<_>>());
         }
         log::info!(models = stored.len(), clock_ms = clock; "namings.read");
         self.stored = Some(stored);
@@ -146,7 +146,7 @@
         };
         let dialect = self.gateway.dialect.store;
         let call = (dialect.transact)(&write);
-        let Some(Ok(position)) = self.link.call("write", &call, dialect.read_transact).await else {
+        let Some(Ok(position)) = self.link.call("write", &call, dialect.decode_transact).await else {
             return false;
         };
         let newest = record.namings.last().map_or(0, |row| row.version);
--- a/crates/gateway/src/peers/kept_task.rs
+++ b/crates/gateway/src/peers/cache_index_task.rs
@@ -7,7 +7,7 @@
 //! followed again, so the index never contains a segment that the store has not reported.
 
 use crate::gateway::Gateway;
-use crate::peers::kept_digest::{poller_count, polls_stores};
+use crate::peers::cache_digest::{poller_count, polls_stores};
 use crate::store::call_link::{CallLink, CallReply};
 use crate::{CacheUpdate, EndpointKey, PollSchedule, StoreSpec, WireCall};
 use hyper::StatusCode;
@@ -81,14 +81,15 @@
     spec: &StoreSpec,
     link: &mut CallLink,
 ) -> Option<u64> {
-    let call = (gateway.dialect.kept.list)();
-    let update = poll(gateway, key, link, &call, LIST_TIMEOUT, gateway.dialect.kept.read_list).await.ok()?;
+    let call = (gateway.dialect.cache.list)();
+    let update =
+        poll(gateway, key, link, &call, LIST_TIMEOUT, gateway.dialect.cache.decode_list).await.ok()?;
     gateway.set_engine_clock(update.clock_millis);
-    let report_deadline = gateway.now().after_millis(poll_schedule(gateway, spec).counts_millis());
+    let report_deadline = gateway.now().after_millis(poll_schedule(gateway, spec).report_lifetime_millis());
     if let Some(row) = gateway.table().store_mut(key) {
         row.replace(&update, report_deadline);
     }
-    gateway.kept_changed.notify_one();
+    gateway.cache_index_changed.notify_one();
     log::info!(store = key.0, incarnation = update.incarnation, parts = update.changes.len(); "store.listed");
     Some(update.next)
 }
@@ -102,15 +103,15 @@
     position: u64,
 ) -> Option<u64> {
     let schedule = poll_schedule(gateway, spec);
-    let call = (gateway.dialect.kept.events)(position, schedule.held_millis);
-    let timeout = Duration::from_millis(schedule.held_millis) + RESPONSE_TIMEOUT;
-    let decoder = gateway.dialect.kept.read_events;
+    let call = (gateway.dialect.cache.events)(position, schedule.long_poll_millis);
+    let timeout = Duration::from_millis(schedule.long_poll_millis) + RESPONSE_TIMEOUT;
+    let decoder = gateway.dialect.cache.decode_events;
     let update = match poll(gateway, key, link, &call, timeout, decoder).await {
         Ok(update) => update,
         Err(PollFailure::Busy(requested_millis)) => {
             // Nothing was missed. The same request is repeated later, at a random distance from those that
             // were refused with it.
-            let regular_millis = schedule.rest_millis + rand::random_range(0..schedule.rest_millis);
+            let regular_millis = schedule.delay_millis + rand::random_range(0..schedule.delay_millis);
             let backoff_millis = regular_millis.max(requested_millis.min(MAX_BUSY_BACKOFF_MILLIS));
             tokio::time::sleep(Duration::from_millis(backoff_millis)).await;
             return Some(position);
@@ -118,7 +119,7 @@
         Err(PollFailure::Lost) => return None,
     };
     gateway.set_engine_clock(update.clock_millis);
-    let report_deadline = gateway.now().after_millis(schedule.counts_millis());
+    let report_deadline = gateway.now().after_millis(schedule.report_lifetime_millis());
     {
         let mut table = gateway.table();
         let row = table.store_mut(key)?;
@@ -130,9 +131,9 @@
         row.apply(&update, report_deadline);
     }
     if !update.changes.is_empty() {
-        gateway.kept_changed.notify_one();
+        gateway.cache_index_changed.notify_one();
     }
-    tokio::time::sleep(Duration::from_millis(schedule.rest_millis)).await;
+    tokio::time::sleep(Duration::from_millis(schedule.delay_millis)).await;
     Some(update.next)
 }
 
@@ -168,7 +169,7 @@
             Err(cause) => cause,
         },
         Ok(CallReply { status: BUSY_STATUS, headers, .. }) => {
-            let answer = (gateway.dialect.decode.answer)(StatusCode::TOO_MANY_REQUESTS, &headers);
+            let answer = (gateway.dialect.decoders.answer)(StatusCode::TOO_MANY_REQUESTS, &headers);
             return Err(PollFailure::Busy(answer.rest_millis.value().unwrap_or_default()));
         }
         Ok(CallReply { status, .. }) => format!("status {status}"),
@@ -178,8 +179,8 @@
         let now = gateway.now();
         let mut table = gateway.table();
         table.store_mut(key).is_some_and(|row| {
-            let is_reachable = row.is_heard(now);
-            row.lose();
+            let is_reachable = row.is_reachable(now);
+            row.mark_unreachable();
             is_reachable
         })
     };
--- a/crates/gateway/src/peers/gossip.rs
+++ b/crates/gateway/src/peers/gossip.rs
@@ -85,7 +85,7 @@
 }
 
 /// Sends digests of this data centre to others while this VM is a leader, until the process ends.
-pub(crate) async fn send_far_digests(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
+pub(crate) async fn send_remote_digests(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     loop {
         let now = gateway.now();
         let (leader_rank, remote_data_centre_count, broadcasts_to_all) = {
@@ -93,9 +93,9 @@
             (peers.leader_rank(now), peers.remote_data_centre_count(), peers.broadcasts_to_all())
         };
         if broadcasts_to_all || leader_rank >= LEADERS_PER_DATA_CENTRE || remote_data_centre_count == 0 {
-            let _ = (gateway.far_notes.take(), gateway.far_reports.take());
-            let _ = (gateway.far_cases.take(), gateway.far_answers.take());
-            gateway.rollouts().sums.far.clear();
+            let _ = (gateway.remote_placements.take(), gateway.remote_send_reports.take());
+            let _ = (gateway.remote_quarantine_messages.take(), gateway.remote_answers.take());
+            gateway.rollouts().sums.remote.clear();
             tokio::time::sleep(LEADER_POLL_INTERVAL).await;
             continue;
         }
@@ -109,7 +109,7 @@
 }
 
 /// Relays digests of other data centres within this one while this VM is a leader, until the process ends.
-pub(crate) async fn pass_on(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
+pub(crate) async fn relay_remote_digests(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     loop {
         let now = gateway.now();
         let (leader_rank, remote_data_centre_count, targets) = {
@@ -120,9 +120,9 @@
             (leader_rank, peers.remote_data_centre_count(), targets)
         };
         if targets.is_empty() || remote_data_centre_count == 0 {
-            let _ = (gateway.passed_notes.take(), gateway.passed_reports.take());
-            let _ = (gateway.passed_cases.take(), gateway.passed_answers.take());
-            gateway.rollouts().sums.passed.clear();
+            let _ = (gateway.relayed_placements.take(), gateway.relayed_send_reports.take());
+            let _ = (gateway.relayed_quarantine_messages.take(), gateway.relayed_answers.take());
+            gateway.rollouts().sums.relayed.clear();
             tokio::time::sleep(LEADER_POLL_INTERVAL).await;
             continue;
         }
@@ -182,7 +182,7 @@
 /// Relays an update that a VM sends to its whole data centre, each message once, if this VM is one of its
 /// relays.
 async fn relay_updates(gateway: &Gateway, socket: &UdpSocket, stamp: PeerStamp, bytes: &[u8]) {
-    if !gateway.relayed.record(stamp) {
+    if !gateway.relay_history.record(stamp) {
         return;
     }
     let targets = gateway.peers().relay_targets(stamp.vm);
--- a/crates/gateway/src/peers/load_digest.rs
+++ b/crates/gateway/src/peers/load_digest.rs
@@ -5,11 +5,11 @@
 //! report of themselves is summed.
 
 use crate::CordonSource;
-use crate::endpoints::answer_handler::{AnswerNote, ForwardScope, ObservedAnswer};
-use crate::gateway::{Gateway, TellerReport};
+use crate::endpoints::answer_handler::{AnswerRecord, ForwardScope, ObservedAnswer};
+use crate::gateway::{Gateway, ReportedSend};
 use crate::peers::peer_message::PeerStamp;
-use crate::peers::placed_note::PlacedNote;
-use crate::peers::waiting_notes::MAX_MESSAGES;
+use crate::peers::pending_messages::MAX_MESSAGES;
+use crate::peers::placement_message::PlacementMessage;
 use crate::{
     EndpointKey, FleetTable, LEADERS_PER_DATA_CENTRE, LinkTransfers, LoadCount, LoadSource, PeerHeartbeat,
     PeerTable, QuarantineMessage, RouteCounts, SumKey, VmKey, short_digest,
@@ -39,13 +39,13 @@
 pub(crate) struct LoadDigest {
     pub scope: DigestScope,
     loads: Vec<(EndpointKey, u32, u64, u64)>,
-    placed: Vec<PlacedNote>,
+    placed: Vec<PlacementMessage>,
     /// Outcomes of sends that concern other VMs, each with the VM that observed it.
-    reports: Vec<TellerReport>,
+    reports: Vec<ReportedSend>,
     /// Quarantine evidence and entries: requests under which endpoints crash.
     cases: Vec<QuarantineMessage>,
     /// Records that endpoints reported about themselves in answers.
-    answers: Vec<AnswerNote>,
+    answers: Vec<AnswerRecord>,
     /// Counts of answers, by version, for services in a rollout.
     rollouts: Vec<(SumKey, RouteCounts)>,
     /// Cordoned engines, and for how long, in microseconds.
@@ -63,8 +63,8 @@
 
 /// Messages that wait to be sent with a digest.
 struct DigestMessages {
-    placed: Vec<PlacedNote>,
-    reports: Vec<TellerReport>,
+    placed: Vec<PlacementMessage>,
+    reports: Vec<ReportedSend>,
     cases: Vec<QuarantineMessage>,
     answers: Vec<ObservedAnswer>,
     rollouts: Vec<(SumKey, RouteCounts)>,
@@ -74,16 +74,16 @@
     /// Builds the digest of this VM itself.
     pub(crate) fn of_vm(gateway: &Gateway) -> Self {
         let messages = DigestMessages {
-            placed: gateway.near_notes.take(),
-            reports: gateway.near_reports.take(),
-            cases: gateway.near_cases.take(),
-            answers: gateway.near_answers.take(),
-            rollouts: gateway.rollouts().sums.near.take(),
+            placed: gateway.local_placements.take(),
+            reports: gateway.local_send_reports.take(),
+            cases: gateway.local_quarantine_messages.take(),
+            answers: gateway.local_answers.take(),
+            rollouts: gateway.rollouts().sums.local.take(),
         };
         let now = gateway.now();
         let table = gateway.table();
         let loads = table.loads_of(|_| false, now);
-        let transfers = table.moves_of(|_| false, now);
+        let transfers = table.transfers_of(|_| false, now);
         Self::build(gateway, &table, DigestScope::Vm, messages, loads, transfers)
     }
 
@@ -93,27 +93,27 @@
     pub(crate) fn of_data_centre(gateway: &Gateway, is_first: bool) -> Self {
         let local_vms = gateway.peers().local_vms();
         let messages = DigestMessages {
-            placed: gateway.far_notes.take(),
-            reports: gateway.far_reports.take(),
-            cases: gateway.far_cases.take(),
-            answers: gateway.far_answers.take(),
-            rollouts: gateway.rollouts().sums.far.take_if(is_first),
+            placed: gateway.remote_placements.take(),
+            reports: gateway.remote_send_reports.take(),
+            cases: gateway.remote_quarantine_messages.take(),
+            answers: gateway.remote_answers.take(),
+            rollouts: gateway.rollouts().sums.remote.take_if(is_first),
         };
         let now = gateway.now();
         let table = gateway.table();
         let loads = table.loads_of(|vm| local_vms.contains(&vm), now);
-        let transfers = table.moves_of(|vm| local_vms.contains(&vm), now);
+        let transfers = table.transfers_of(|vm| local_vms.contains(&vm), now);
         Self::build(gateway, &table, DigestScope::DataCentre, messages, loads, transfers)
     }
 
     /// Builds the digest of all other data centres, which this VM relays as a leader within its own.
     pub(crate) fn of_elsewhere(gateway: &Gateway, is_first: bool) -> Self {
         let messages = DigestMessages {
-            placed: gateway.passed_notes.take(),
-            reports: gateway.passed_reports.take(),
-            cases: gateway.passed_cases.take(),
-            answers: gateway.passed_answers.take(),
-            rollouts: gateway.rollouts().sums.passed.take_if(is_first),
+            placed: gateway.relayed_placements.take(),
+            reports: gateway.relayed_send_reports.take(),
+            cases: gateway.relayed_quarantine_messages.take(),
+            answers: gateway.relayed_answers.take(),
+            rollouts: gateway.rollouts().sums.relayed.take_if(is_first),
         };
         let now = gateway.now();
         let remote_peers = gateway.peers().live_remote_peers(now);
@@ -153,22 +153,22 @@
             DigestScope::Elsewhere => 2,
         };
         let DigestMessages { placed, reports, mut cases, answers, rollouts } = messages;
-        cases.extend(gateway.desk().quarantine.repeat_messages(audience, now));
+        cases.extend(gateway.quarantine_tracker().quarantine.repeat_messages(audience, now));
         let loads = loads.into_iter();
         Self {
             scope,
             loads: loads
-                .map(|(key, load)| (key, load.running, load.unread_tokens, load.memory_tokens))
+                .map(|(key, load)| (key, load.running, load.pending_prefill_tokens, load.memory_tokens))
                 .collect(),
             placed,
             reports,
             cases,
-            answers: answers.iter().map(|answer| AnswerNote::of(answer, now)).collect(),
+            answers: answers.iter().map(|answer| AnswerRecord::of(answer, now)).collect(),
             rollouts,
             closed: cordoned_engines(table, scope, now),
             moves: transfers,
             weights: observed_weights(table, scope, now),
-            named: gateway.named_ages(),
+            named: gateway.publication_ages(),
             heard: Vec::new(),
         }
     }
@@ -180,7 +180,7 @@
         if self.scope == DigestScope::Elsewhere {
             peers.record_relayed_digest(vm, incarnation, sequence, now)
         } else {
-            peers.hear(vm, incarnation, sequence, now)
+            peers.record_digest(vm, incarnation, sequence, now)
         }
     }
 
@@ -209,9 +209,10 @@
             DigestScope::Elsewhere => (!is_leader).then_some(LoadSource::Elsewhere),
         };
         let is_local = is_local && self.scope == DigestScope::Vm;
-        let loads = self.loads.iter().map(|(key, running, unread_tokens, memory_tokens)| {
-            let (running, unread_tokens, memory_tokens) = (*running, *unread_tokens, *memory_tokens);
-            (*key, LoadCount { running, unread_tokens, memory_tokens })
+        let loads = self.loads.iter().map(|(key, running, pending_prefill_tokens, memory_tokens)| {
+            let (running, pending_prefill_tokens, memory_tokens) =
+                (*running, *pending_prefill_tokens, *memory_tokens);
+            (*key, LoadCount { running, pending_prefill_tokens, memory_tokens })
         });
         let mut table = gateway.table();
         if let Some(source) = source {
@@ -238,17 +239,17 @@
             }
         }
         drop(table);
-        gateway.apply_named_ages(&self.named);
-        gateway.take_notes(&self.cases, self.scope, vm, is_leader);
+        gateway.apply_publication_ages(&self.named);
+        gateway.apply_quarantine_messages(&self.cases, self.scope, vm, is_leader);
         let forward = ForwardScope::of(self.scope, is_local, is_leader);
-        gateway.apply_answer_notes(&self.answers, forward);
+        gateway.apply_answer_records(&self.answers, forward);
         gateway.add_rollout_sums(&self.rollouts, forward);
         if is_local {
-            self.placed.iter().for_each(|message| gateway.far_notes.push(message.clone()));
-            self.reports.iter().for_each(|report| gateway.report_far(*report));
+            self.placed.iter().for_each(|message| gateway.remote_placements.push(message.clone()));
+            self.reports.iter().for_each(|report| gateway.record_remote_report(*report));
         } else if is_leader && self.scope == DigestScope::DataCentre {
-            self.placed.iter().for_each(|message| gateway.passed_notes.push(message.clone()));
-            self.reports.iter().for_each(|report| gateway.passed_reports.push(*report));
+            self.placed.iter().for_each(|message| gateway.relayed_placements.push(message.clone()));
+            self.reports.iter().for_each(|report| gateway.relayed_send_reports.push(*report));
         }
     }
 }
@@ -266,7 +267,9 @@
         DigestScope::DataCentre => source != CordonSource::Remote,
         DigestScope::Elsewhere => source == CordonSource::Remote,
     };
-    let cordoned = table.changing().filter(|(_, row)| row.is_closing(now) && is_reported(row.cordoned_by));
+    let cordoned = table
+        .rows_with_changing_weights()
+        .filter(|(_, row)| row.is_cordoned(now) && is_reported(row.cordoned_by));
     cordoned.map(|(key, row)| (key, row.cordoned_until.micros_since(now))).collect()
 }
 
@@ -274,7 +277,7 @@
 fn observed_weights(table: &FleetTable, scope: DigestScope, now: Moment) -> Vec<(EndpointKey, u64, u64)> {
     let is_recent =
         |at: Option<Moment>| at.is_some_and(|at| now < at.after_millis(WEIGHTS_PROPAGATION_MILLIS));
-    let rows = table.changing().filter(|(_, row)| match scope {
+    let rows = table.rows_with_changing_weights().filter(|(_, row)| match scope {
         DigestScope::Vm => is_recent(row.observed_weights_at),
         DigestScope::DataCentre => is_recent(row.observed_weights_at) || is_recent(row.reported_weights_at),
         DigestScope::Elsewhere => is_recent(row.remote_weights_at),
--- a/crates/gateway/src/peers/placed_note.rs
+++ b/crates/gateway/src/peers/placement_message.rs
@@ -11,7 +11,7 @@
 
 /// A placed request: its engine, and the segments that the engine will cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct PlacedNote {
+pub(crate) struct PlacementMessage {
     pub key: EndpointKey,
     pub parts: Vec<(u64, u32)>,
     pub salt: u64,
@@ -19,20 +19,20 @@
     pub saves: Vec<(u8, EndpointKey)>,
 }
 
-impl PlacedNote {
+impl PlacementMessage {
     /// Whether there is anything to propagate.
-    pub(crate) fn has_parts(&self) -> bool {
+    pub(crate) fn has_segments(&self) -> bool {
         !self.parts.is_empty()
     }
 
     /// Builds the message of a choice that was made for a prompt of `segments`.
     pub(crate) fn new(choice: &PlacementChoice, segments: &[PromptSegment]) -> Self {
-        let saves = choice.kept.saves.iter().take(MAX_SEGMENTS).enumerate();
+        let saves = choice.transfers.saves.iter().take(MAX_SEGMENTS).enumerate();
         let saves = saves.filter_map(|(index, store)| Some((u8::try_from(index).ok()?, (*store)?)));
         Self {
             key: choice.key,
             parts: segments.iter().take(MAX_SEGMENTS).map(|segment| (segment.key, segment.tokens)).collect(),
-            salt: choice.salt,
+            salt: choice.salt_digest,
             saves: saves.collect(),
         }
     }
--- a/crates/gateway/src/quarantine/quarantine_task.rs
+++ b/crates/gateway/src/quarantine/quarantine_task.rs
@@ -7,7 +7,7 @@
 
 use crate::gateway::Gateway;
 use crate::operators::gateway_metrics::KindLabel;
-use crate::quarantine::quarantine_desk::StoredHold;
+use crate::quarantine::quarantine_tracker::StoredQuarantine;
 use crate::store::store_link::StoreLink;
 use crate::{QuarantinePhase, QuarantinedRequest, RequestKey, StoreRefusal, StoreTransaction};
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Prefix of the keys of quarantines; the request's digest follows.
-pub(crate) const HOLD_PREFIX: &str = "spanfold/held/";
+pub(crate) const QUARANTINE_PREFIX: &str = "spanfold/held/";
 
 /// Interval between checks for expired quarantines and due writes, in milliseconds.
 const POLL_INTERVAL_MILLIS: u64 = 500;
@@ -30,12 +30,12 @@
 pub(crate) async fn evaluate_evidence(gateway: Arc<Gateway>) {
     let mut next_sweep_at = Moment(0);
     loop {
-        let wake_at = gateway.desk().quarantine.next_evaluation_at().min(next_sweep_at);
+        let wake_at = gateway.quarantine_tracker().quarantine.next_evaluation_at().min(next_sweep_at);
         tokio::select! {
             () = gateway.evidence_received.notified() => {}
-            () = gateway.until(wake_at) => {}
+            () = gateway.wait_until(wake_at) => {}
         }
-        gateway.judge_requests();
+        gateway.evaluate_requests();
         if gateway.now() >= next_sweep_at {
             sweep(&gateway);
             next_sweep_at = gateway.now().after_millis(POLL_INTERVAL_MILLIS);
@@ -46,9 +46,12 @@
 fn sweep(gateway: &Gateway) {
     let now = gateway.now();
     let (expired, held_count) = {
-        let mut tracker = gateway.desk();
+        let mut tracker = gateway.quarantine_tracker();
         let expired = tracker.quarantine.sweep(now);
-        (expired, tracker.quarantine.rows().filter(|(_, row)| row.phase == QuarantinePhase::Held).count())
+        (
+            expired,
+            tracker.quarantine.rows().filter(|(_, row)| row.phase == QuarantinePhase::Quarantined).count(),
+        )
     };
     gateway.metrics.held_requests.set(held_count as i64);
     for (request, row) in expired {
@@ -78,15 +81,17 @@
     async fn write_due(&mut self) {
         loop {
             let now = self.gateway.now();
-            let Some((request, row)) = self.gateway.desk().quarantine.due_write(now) else { return };
+            let Some((request, row)) = self.gateway.quarantine_tracker().quarantine.due_write(now) else {
+                return;
+            };
             let is_done = match row.phase {
-                QuarantinePhase::Held => self.write(request, &row).await,
-                QuarantinePhase::Trial => true,
-                QuarantinePhase::Lifted => self.remove(request).await,
+                QuarantinePhase::Quarantined => self.write(request, &row).await,
+                QuarantinePhase::Probation => true,
+                QuarantinePhase::Released => self.remove(request).await,
             };
             let retry_at =
                 if is_done { Moment::NEVER } else { self.gateway.now().after_millis(RETRY_DELAY_MILLIS) };
-            self.gateway.desk().quarantine.record_written(request, &row, retry_at);
+            self.gateway.quarantine_tracker().quarantine.record_written(request, &row, retry_at);
         }
     }
 
@@ -95,12 +100,14 @@
         let dialect = self.gateway.dialect.store;
         let remaining_millis = row.until.micros_since(self.gateway.now()) / MICROS_PER_MILLI;
         let grant = (dialect.grant)(remaining_millis.max(MIN_LEASE_MILLIS));
-        let Some(Ok(grant)) = self.link.call("grant", &grant, dialect.read_grant).await else { return false };
-        let label = self.gateway.desk().label(request).to_owned();
-        let quarantine = StoredHold { round: row.round, endings: row.endings, request: label };
+        let Some(Ok(grant)) = self.link.call("grant", &grant, dialect.decode_grant).await else {
+            return false;
+        };
+        let label = self.gateway.quarantine_tracker().label(request).to_owned();
+        let quarantine = StoredQuarantine { round: row.round, endings: row.crashes, request: label };
         // Plain structs of numbers and texts always have a JSON form.
         let value = serde_json::to_vec(&quarantine).unwrap_or_default();
-        let key = format!("{HOLD_PREFIX}{request}");
+        let key = format!("{QUARANTINE_PREFIX}{request}");
         let mut stored_position = None;
         for _ in 0..2 {
             let write = StoreTransaction {
@@ -108,14 +115,14 @@
                 writes: vec![(key.clone(), value.clone(), grant.lease)],
                 removals: Vec::new(),
             };
-            match self.link.call("write", &(dialect.transact)(&write), dialect.read_transact).await {
+            match self.link.call("write", &(dialect.transact)(&write), dialect.decode_transact).await {
                 Some(Ok(position)) => {
                     log::info!(digest:% = request, round = row.round, position:%; "quarantine.written");
                     return true;
                 }
                 Some(Err(StoreRefusal::Conflict(items))) => {
                     let Some(item) = items.first() else { return false };
-                    let stored = serde_json::from_slice::<StoredHold>(&item.value);
+                    let stored = serde_json::from_slice::<StoredQuarantine>(&item.value);
                     if stored.is_ok_and(|stored| stored.round >= row.round) {
                         return true;
                     }
@@ -129,10 +136,10 @@
 
     async fn remove(&mut self, request: RequestKey) -> bool {
         let dialect = self.gateway.dialect.store;
-        let removals = vec![format!("{HOLD_PREFIX}{request}")];
+        let removals = vec![format!("{QUARANTINE_PREFIX}{request}")];
         let write = StoreTransaction { removals, ..StoreTransaction::default() };
         matches!(
-            self.link.call("write", &(dialect.transact)(&write), dialect.read_transact).await,
+            self.link.call("write", &(dialect.transact)(&write), dialect.decode_transact).await,
             Some(Ok(_))
         )
     }
--- a/crates/gateway/src/quarantine/quarantine_desk.rs
+++ b/crates/gateway/src/quarantine/quarantine_tracker.rs
@@ -8,7 +8,7 @@
 //! Invariant: a VM forwards each message that is new to it, so that the message reaches every VM once through
 //! the leaders; lost messages are repeated periodically.
 
-use crate::endpoints::end_watch::{BrokenSend, millis};
+use crate::endpoints::crash_detector::{BrokenSend, millis};
 use crate::gateway::Gateway;
 use crate::operators::gateway_metrics::KindLabel;
 use crate::peers::load_digest::DigestScope;
@@ -55,7 +55,7 @@
     pub(crate) fn describe(&mut self, request: RequestKey, label: &str) {
         if self.labels.len() >= MAX_LABELS && !self.labels.contains_key(&request) {
             let quarantine = &self.quarantine;
-            self.labels.retain(|labelled, _| quarantine.knows(*labelled));
+            self.labels.retain(|labelled, _| quarantine.has_records(*labelled));
         }
         if self.labels.len() < MAX_LABELS {
             let length =
@@ -73,15 +73,15 @@
 
 impl Gateway {
     /// Locks the evidence and the quarantines. Never held across a wait.
-    pub(crate) fn desk(&self) -> MutexGuard<'_, QuarantineTracker> {
+    pub(crate) fn quarantine_tracker(&self) -> MutexGuard<'_, QuarantineTracker> {
         self.quarantine_tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records that an endpoint crashed while it had a request of this VM.
-    pub(crate) fn take_own_report(&self, report: &CrashReport, send: &BrokenSend, endpoint: &str) {
+    pub(crate) fn record_own_crash(&self, report: &CrashReport, send: &BrokenSend, endpoint: &str) {
         let now = self.now();
-        let mut tracker = self.desk();
-        if !tracker.quarantine.take_report(report, now) {
+        let mut tracker = self.quarantine_tracker();
+        if !tracker.quarantine.record_report(report, now) {
             return;
         }
         let crash_count = tracker.quarantine.crashes_of(report.request);
@@ -91,36 +91,36 @@
             age_ms = millis(report.age_micros), endings = crash_count;
             "quarantine.evidence");
         let message = QuarantineMessage::of_report(report, now);
-        self.near_cases.push(message);
-        self.far_cases.push(message);
+        self.local_quarantine_messages.push(message);
+        self.remote_quarantine_messages.push(message);
         self.loads_changed.notify_one();
         self.evidence_received.notify_one();
     }
 
     /// Whether one more crash may quarantine a request.
-    pub(crate) fn is_close_to_hold(&self, request: RequestKey) -> bool {
-        self.desk().quarantine.is_close(request)
+    pub(crate) fn is_near_quarantine(&self, request: RequestKey) -> bool {
+        self.quarantine_tracker().quarantine.is_near_threshold(request)
     }
 
     /// Evaluates the requests whose evidence is due.
-    pub(crate) fn judge_requests(&self) {
-        let changes = self.desk().quarantine.evaluate_due(self.now());
+    pub(crate) fn evaluate_requests(&self) {
+        let changes = self.quarantine_tracker().quarantine.evaluate_due(self.now());
         self.publish_changes(&changes);
     }
 
     /// Records that an endpoint completed a request: the request does not crash endpoints.
     pub(crate) fn record_answered(&self, request: RequestKey) {
-        if self.desk().quarantine.record_answered(request, self.now()) {
+        if self.quarantine_tracker().quarantine.record_answered(request, self.now()) {
             let message = QuarantineMessage::Answered { request, ago_micros: 0 };
-            self.near_cases.push(message);
-            self.far_cases.push(message);
+            self.local_quarantine_messages.push(message);
+            self.remote_quarantine_messages.push(message);
         }
     }
 
     /// Applies messages of the VM `reporter`, and queues new ones for other VMs.
     ///
     /// These are the VMs to which the reporter has not sent them.
-    pub(crate) fn take_notes(
+    pub(crate) fn apply_quarantine_messages(
         &self,
         messages: &[QuarantineMessage],
         scope: DigestScope,
@@ -130,7 +130,8 @@
         let now = self.now();
         let is_local = self.peers().is_local(reporter);
         for message in messages {
-            let (is_new, changes) = self.desk().quarantine.apply_quarantine_message(message, now);
+            let (is_new, changes) =
+                self.quarantine_tracker().quarantine.apply_quarantine_message(message, now);
             if !is_new {
                 continue;
             }
@@ -140,31 +141,33 @@
             }
             self.publish_changes(&changes);
             if scope == DigestScope::Vm && is_local {
-                self.far_cases.push(*message);
+                self.remote_quarantine_messages.push(*message);
             } else if scope == DigestScope::DataCentre && is_leader {
-                self.passed_cases.push(*message);
+                self.relayed_quarantine_messages.push(*message);
             }
         }
     }
 
     /// Records that an endpoint's entry vanished without an announced departure.
-    pub(crate) fn note_lapsed(&self, crash: EndpointCrash) {
-        self.desk().quarantine.record_crash(crash);
+    pub(crate) fn record_vanished_entry(&self, crash: EndpointCrash) {
+        self.quarantine_tracker().quarantine.record_crash(crash);
     }
 
     /// Applies a quarantine that is in the store.
-    pub(crate) fn take_stored_hold(&self, request: RequestKey, stored: &StoredHold) {
+    pub(crate) fn apply_stored_quarantine(&self, request: RequestKey, stored: &StoredQuarantine) {
         let changes = {
-            let mut tracker = self.desk();
+            let mut tracker = self.quarantine_tracker();
             tracker.describe(request, &stored.request);
-            tracker.quarantine.take_stored(request, (stored.round, stored.endings), self.now())
+            tracker.quarantine.adopt_stored(request, (stored.round, stored.endings), self.now())
         };
         self.publish_changes(&changes);
     }
 
     /// Releases a request at an operator's command; false if it is not quarantined.
     pub(crate) fn release_request(&self, request: RequestKey) -> bool {
-        let Some(round) = self.desk().quarantine.lift(request, self.now()) else { return false };
+        let Some(round) = self.quarantine_tracker().quarantine.release(request, self.now()) else {
+            return false;
+        };
         self.publish_changes(&[QuarantineChange::Lifted { request, round }]);
         true
     }
@@ -172,13 +175,13 @@
     /// Returns all requests that are or were quarantined, for operators.
     pub(crate) fn quarantine_rows(&self) -> Vec<QuarantineRow> {
         let now = self.now();
-        let tracker = self.desk();
+        let tracker = self.quarantine_tracker();
         let rows = tracker.quarantine.rows().map(|(request, row)| QuarantineRow {
             digest: request.to_string(),
             request: tracker.label(request).to_owned(),
             phase: phase_label(row.phase).to_owned(),
             round: row.round,
-            endings: row.endings,
+            endings: row.crashes,
             rest_s: row.until.micros_since(now) / spanfold_entity::MICROS_PER_SECOND,
             turned_away: row.turned_away,
         });
@@ -190,8 +193,8 @@
         for change in changes {
             let (label, request, round) = match *change {
                 QuarantineChange::Begun { request, round, verdict } => {
-                    log::error!(digest:% = request, round, endings = verdict.endings, blamed = verdict.counted,
-                        log_odds = verdict.log_odds, request = self.desk().label(request); "quarantine.begun");
+                    log::error!(digest:% = request, round, endings = verdict.crashes, blamed = verdict.counted,
+                        log_odds = verdict.log_odds, request = self.quarantine_tracker().label(request); "quarantine.begun");
                     ("begun", request, round)
                 }
                 QuarantineChange::Adopted { request, round } => {
@@ -201,8 +204,8 @@
                 QuarantineChange::Lifted { request, round } => {
                     log::warn!(digest:% = request, round; "quarantine.lifted");
                     let message = QuarantineMessage::Lifted { request, round };
-                    self.near_cases.push(message);
-                    self.far_cases.push(message);
+                    self.local_quarantine_messages.push(message);
+                    self.remote_quarantine_messages.push(message);
                     ("lifted", request, round)
                 }
             };
@@ -220,20 +223,21 @@
     /// Propagates a quarantine that began at this VM: other VMs may lack some of the evidence.
     fn propagate_quarantine(&self, request: RequestKey, round: u32) {
         let now = self.now();
-        let Some(QuarantinedRequest { endings, until, .. }) = self.desk().quarantine.held(request, now)
+        let Some(QuarantinedRequest { crashes: endings, until, .. }) =
+            self.quarantine_tracker().quarantine.quarantined(request, now)
         else {
             return;
         };
         let message =
             QuarantineMessage::Held { request, round, endings, rest_micros: until.micros_since(now) };
-        self.near_cases.push(message);
-        self.far_cases.push(message);
+        self.local_quarantine_messages.push(message);
+        self.remote_quarantine_messages.push(message);
     }
 }
 
 /// Quarantine in its stored form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct StoredHold {
+pub(crate) struct StoredQuarantine {
     pub round: u32,
     pub endings: u32,
     /// Client account, method, host and path.
@@ -244,8 +248,8 @@
 /// Returns the label of a phase.
 const fn phase_label(phase: QuarantinePhase) -> &'static str {
     match phase {
-        QuarantinePhase::Held => "held",
-        QuarantinePhase::Trial => "trial",
-        QuarantinePhase::Lifted => "lifted",
+        QuarantinePhase::Quarantined => "held",
+        QuarantinePhase::Probation => "trial",
+        QuarantinePhase::Released => "lifted",
     }
 }
--- a/crates/gateway/src/requests/dispatch.rs
+++ b/crates/gateway/src/requests/dispatch.rs
@@ -3,21 +3,21 @@
 //! Invariant: after each send it is known whether the endpoint may have run the request. It has not run it
 //! if no byte left this process or if the endpoint refused it.
 
-use crate::clock::TimeIsUp;
+use crate::clock::DeadlinePassed;
 use crate::endpoints::answer_facts::{AnswerFacts, AnswerOrigin};
 use crate::endpoints::answer_handler::AnswerSource;
 use crate::endpoints::endpoint_pool::{EndpointConnection, ExchangeError};
 use crate::gateway::CountGuard;
 use crate::operators::gateway_metrics::KindLabel;
-use crate::peers::placed_note::PlacedNote;
+use crate::peers::placement_message::PlacementMessage;
 use crate::requests::flight::SendFlight;
 use crate::requests::outgoing_body::OutgoingBody;
 use crate::requests::request_run::RequestRun;
 use crate::rollout::VersionedSend;
 use crate::salted_key;
 use crate::{
-    AdmissionVerdict, EndpointKey, FleetTable, PlacementChoice, PlacementRequest, SendOutcome, ShareVerdict,
-    ShareView, TestDraw, VersionSplit, claim_probability, salt_text, short_digest,
+    AdmissionVerdict, CanaryDraw, EndpointKey, FleetTable, PlacementChoice, PlacementRequest, SendOutcome,
+    ShareVerdict, ShareView, VersionSplit, claim_probability, format_cache_salt, short_digest,
 };
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -149,7 +149,7 @@
         let started_at = self.gateway.now();
         let poll_at =
             started_at.after_millis(SHARE_POLL_INTERVAL_MILLIS).min(next_at).max(started_at.after_millis(1));
-        self.gateway.until(poll_at).await;
+        self.gateway.wait_until(poll_at).await;
         self.waited_micros += self.gateway.now().micros_since(started_at);
     }
 
@@ -166,7 +166,7 @@
         // A request that was sent once has passed admission.
         let admission = context.admission().filter(|_| self.sends == 0);
         let required = model.and_then(|model| gateway.required_weights(model));
-        let unreachable = gateway.cut_data_centres();
+        let unreachable = gateway.partitioned_data_centres();
         let unreachable: Vec<&str> = unreachable.iter().map(String::as_str).collect();
         // Read at each attempt: a change of home regions applies to waiting requests, too.
         let routes = gateway.routes()?;
@@ -175,25 +175,25 @@
         let shares = ShareView { right: right.as_deref(), cold: gateway.cold_terms(), vms };
         let request = PlacementRequest {
             service: &context.service,
-            silent: &unreachable,
+            unreachable_data_centres: &unreachable,
             data_centre: &gateway.settings.data_centre,
-            parts: &context.segments,
+            segments: &context.segments,
             prompt_tokens: context.prompt_tokens,
             output_tokens: context.output_tokens,
             objective_millis: context.route.objective_millis,
             bytes: self.body.len(),
             model,
-            wanted: required.as_ref(),
+            required_weights: required.as_ref(),
             memory_fraction: admission.map_or(1.0, |view| view.memory_fraction(gateway.now())),
             homes: routes.homes(&context.host, &context.path, context.account.as_deref()),
-            wall: &context.isolation_scope,
+            isolation_scope: &context.isolation_scope,
             exclude: &self.tried,
             versions: &VersionSplit::Any,
             shares,
             draw: rand::random,
         };
         // A second send is no canary: it would be another request to a version that may be bad.
-        let mut draw = if self.tried.is_empty() { self.canary_draw } else { TestDraw::NONE };
+        let mut draw = if self.tried.is_empty() { self.canary_draw } else { CanaryDraw::NONE };
         let splits = gateway.version_splits(&context.service, &mut draw);
         self.canary_draw.has_slack |= draw.has_slack;
         let admit = |choice: &PlacementChoice| {
@@ -223,29 +223,32 @@
                 return Some(PlaceResult::Late(return_delay_millis));
             }
         }
-        let transfers: Vec<_> = choice.kept.moves(&context.segments).collect();
+        let transfers: Vec<_> = choice.transfers.store_transfers(&context.segments).collect();
         let (endpoint, address) = {
             let mut table = gateway.table();
-            let is_limited = table.takes_few(choice.key, gateway.now());
+            let is_limited = table.takes_few_requests(choice.key, gateway.now());
             if !table.consume_share(choice.key, &shares, gateway.now()) {
                 return Some(PlaceResult::WaitForShare(gateway.now()));
             }
             if is_limited {
-                gateway.shares.queue().record_served(&context.service, &self.queue_order, gateway.now());
+                gateway.quota_queue.queue().record_served(&context.service, &self.queue_entry, gateway.now());
             }
-            table.take(choice.key, choice.load, &context.segments, choice.salt);
+            table.reserve(choice.key, choice.load, &context.segments, choice.salt_digest);
             let row = table.row(choice.key)?;
             let (id, address) = (row.entry.id.clone(), row.entry.address);
             let data_centre = row.entry.data_centre.clone();
             for (store, tokens) in &transfers {
                 if let Some(row) = table.store_mut(*store) {
-                    row.take(*tokens, &data_centre, gateway.now());
+                    row.begin_transfer(*tokens, &data_centre, gateway.now());
                 }
             }
             (id, address)
         };
-        gateway.note_placed(PlacedNote::new(&choice, &context.segments));
-        gateway.metrics.kept_tokens.inc_by(choice.kept.kept_tokens + choice.kept.moved_tokens);
+        gateway.record_placement(PlacementMessage::new(&choice, &context.segments));
+        gateway
+            .metrics
+            .kept_tokens
+            .inc_by(choice.transfers.cached_tokens + choice.transfers.transferred_tokens);
         let mut flight = SendFlight::new(&gateway, &choice, (endpoint, address), transfers);
         flight.versioned = self.versioned(choice.key);
         self.tried.push(choice.key);
@@ -266,8 +269,8 @@
     fn is_next_for(&self, choice: &PlacementChoice) -> bool {
         let gateway = &self.gateway;
         let now = gateway.now();
-        !gateway.table().takes_few(choice.key, now)
-            || gateway.shares.queue().is_next_in_queue(&self.context.service, &self.queue_order, now)
+        !gateway.table().takes_few_requests(choice.key, now)
+            || gateway.quota_queue.queue().is_next_in_queue(&self.context.service, &self.queue_entry, now)
     }
 
     /// Queues or refuses a request that no endpoint takes now; none if there is no endpoint.
@@ -276,16 +279,16 @@
         let now = gateway.now();
         let capacity = gateway.table().share_capacity(request, now);
         let Some(capacity) = capacity else {
-            let blocked = gateway.table().blocked(request, now);
+            let blocked = gateway.table().count_blocked(request, now);
             log::info!(request = self.context.id_text(), service = request.service, blocked:%;
                 "request.unplaced");
             return None;
         };
-        let verdict = gateway.shares.queue().admit(request.service, &self.queue_order, &capacity, now);
+        let verdict = gateway.quota_queue.queue().admit(request.service, &self.queue_entry, &capacity, now);
         Some(match verdict {
             ShareVerdict::Wait(next_at) => PlaceResult::WaitForShare(next_at),
             ShareVerdict::Refuse(return_delay_millis) => {
-                let blocked = gateway.table().blocked(request, now);
+                let blocked = gateway.table().count_blocked(request, now);
                 log::info!(request = self.context.id_text(), service = request.service, blocked:%,
                     own_per_s = capacity.own_per_s, all_per_s = capacity.all_per_s,
                     back_ms = return_delay_millis; "request.limited");
@@ -325,7 +328,7 @@
             && let Some(model) = &context.model
         {
             let version = choice.version.unwrap_or(0);
-            set(&names.cache_salt, salt_text(&context.isolation_scope, model, version).as_bytes());
+            set(&names.cache_salt, format_cache_salt(&context.isolation_scope, model, version).as_bytes());
             if choice.version.is_some() {
                 set(&names.expect_version, version.to_string().as_bytes());
                 self.set_transfers(choice, &mut set);
@@ -340,28 +343,29 @@
     /// Sets the headers that name the stores to fetch segments from and to save them to.
     fn set_transfers(&self, choice: &PlacementChoice, set: &mut impl FnMut(&HeaderName, &[u8])) {
         let names = &self.gateway.dialect.headers;
-        let format_addresses = self.gateway.dialect.kept.segment_addresses;
+        let format_addresses = self.gateway.dialect.cache.segment_addresses;
         let now = self.gateway.now();
         let mut table = self.gateway.table();
         let address = |table: &FleetTable, store: Option<EndpointKey>| {
             store.and_then(|store| table.store(store)).map(|row| row.spec.address)
         };
-        if choice.kept.fetches.iter().any(Option::is_some) {
-            let fetches: Vec<_> = choice.kept.fetches.iter().map(|store| address(&table, *store)).collect();
+        if choice.transfers.fetches.iter().any(Option::is_some) {
+            let fetches: Vec<_> =
+                choice.transfers.fetches.iter().map(|store| address(&table, *store)).collect();
             set(&names.fetch_from, format_addresses(&fetches).as_bytes());
-            let wait_micros =
-                choice.expected_micros + (choice.kept.transfer_time_micros * FETCH_TIMEOUT_FACTOR) as u64;
+            let wait_micros = choice.expected_micros
+                + (choice.transfers.transfer_time_micros * FETCH_TIMEOUT_FACTOR) as u64;
             let fetch_deadline = now.after_micros(wait_micros).after_millis(FETCH_TIMEOUT_MARGIN_MILLIS);
             if let Some(clock) = self.gateway.engine_clock_at(fetch_deadline) {
                 set(&names.fetch_until, clock.to_string().as_bytes());
             }
         }
-        if choice.kept.saves.iter().any(Option::is_some) {
-            let saves: Vec<_> = choice.kept.saves.iter().map(|store| address(&table, *store)).collect();
+        if choice.transfers.saves.iter().any(Option::is_some) {
+            let saves: Vec<_> = choice.transfers.saves.iter().map(|store| address(&table, *store)).collect();
             set(&names.save_to, format_addresses(&saves).as_bytes());
-            for (store, segment) in choice.kept.saves.iter().zip(&self.context.segments) {
+            for (store, segment) in choice.transfers.saves.iter().zip(&self.context.segments) {
                 if let Some(row) = store.and_then(|store| table.store_mut(store)) {
-                    row.ask(salted_key(segment.key, choice.salt), segment.tokens, now);
+                    row.record_request(salted_key(segment.key, choice.salt_digest), segment.tokens, now);
                 }
             }
         }
@@ -370,12 +374,12 @@
     async fn send_to(&mut self, mut flight: SendFlight, request: Request<OutgoingBody>) -> SendResult {
         let gateway = Arc::clone(&self.gateway);
         let result = match self.exchange(&flight, request).await {
-            Err(TimeIsUp) if gateway.now() >= self.start_deadline() => {
+            Err(DeadlinePassed) if gateway.now() >= self.start_deadline() => {
                 // The engine is not at fault: it was busy for longer than expected.
                 self.record_sent();
                 SendResult::Lost("not begun before its weights are overdue")
             }
-            Err(TimeIsUp) => {
+            Err(DeadlinePassed) => {
                 flight.record_outcome(SendOutcome::Silent);
                 self.record_sent();
                 SendResult::Lost("silent")
@@ -400,7 +404,7 @@
                 SendResult::Lost("broken")
             }
             Ok(Ok((answer, connection))) => {
-                let facts = (gateway.dialect.decode.answer)(answer.status(), answer.headers());
+                let facts = (gateway.dialect.decoders.answer)(answer.status(), answer.headers());
                 flight.set_connection(connection, &facts);
                 let result = self.classify(answer, &facts, flight);
                 // Only live endpoints count towards the route's attempts.
@@ -428,7 +432,7 @@
         &self,
         flight: &SendFlight,
         request: Request<OutgoingBody>,
-    ) -> Result<ExchangeResult, TimeIsUp> {
+    ) -> Result<ExchangeResult, DeadlinePassed> {
         let gateway = &self.gateway;
         let (progress, is_long) = (request.body().progress(), request.body().is_long());
         let mut exchange =
@@ -437,13 +441,13 @@
         loop {
             // Newer weights may be published meanwhile.
             let poll_at = gateway.now().after_millis(OVERDUE_POLL_INTERVAL_MILLIS).min(self.start_deadline());
-            let result = gateway.within(deadline.min(poll_at), exchange.as_mut()).await;
+            let result = gateway.complete_before(deadline.min(poll_at), exchange.as_mut()).await;
             let now = gateway.now();
             match result {
-                Err(TimeIsUp) if now >= self.start_deadline() => return result,
-                Err(TimeIsUp) if now < deadline => {}
+                Err(DeadlinePassed) if now >= self.start_deadline() => return result,
+                Err(DeadlinePassed) if now < deadline => {}
                 // At another endpoint the upload would start from zero.
-                Err(TimeIsUp)
+                Err(DeadlinePassed)
                     if is_long && progress.remaining() < remaining && deadline < self.context.deadline =>
                 {
                     (deadline, remaining) = (self.answer_deadline(), progress.remaining());
@@ -456,7 +460,9 @@
     /// Whether the chosen endpoint still takes requests.
     fn is_accepting(&self, flight: &SendFlight) -> bool {
         let (table, now) = (self.gateway.table(), self.gateway.now());
-        table.row(flight.key).is_none_or(|row| !row.has_announced_end() && !row.rest.is_backing_off(now))
+        table
+            .row(flight.key)
+            .is_none_or(|row| !row.has_announced_departure() && !row.backoff.is_backing_off(now))
     }
 
     fn record_sent(&mut self) {
@@ -470,7 +476,7 @@
         let version = self.choice.as_ref().and_then(|choice| choice.version);
         let required = self.context.model.as_deref().and_then(|model| self.gateway.required_weights(model));
         let (Some(version), Some(required)) = (version, required) else { return Moment::NEVER };
-        match required.last_start(version) {
+        match required.start_deadline(version) {
             Moment::NEVER => Moment::NEVER,
             last => Moment(last.0.saturating_sub(CANCELLATION_MARGIN_MILLIS * MICROS_PER_MILLI)),
         }
@@ -528,7 +534,7 @@
         }
         self.may_have_run = true;
         if facts.request_id.as_ref() != Some(&self.context.id) {
-            // This request's answer may still follow, but cannot be told apart from more surplus ones.
+            // This request's answer may still follow, but cannot be distinguished from more surplus ones.
             flight.record_outcome(SendOutcome::Failed);
             return SendResult::Lost("an answer to another request");
         }
--- a/crates/gateway/src/requests/flight.rs
+++ b/crates/gateway/src/requests/flight.rs
@@ -53,7 +53,7 @@
             sent_at: gateway.now(),
             expected_micros: choice.expected_micros,
             transfers,
-            transfer_time_micros: choice.kept.transfer_time_micros,
+            transfer_time_micros: choice.transfers.transfer_time_micros,
             is_start_recorded: false,
             head_at: None,
             connection: None,
@@ -94,9 +94,10 @@
             rest_millis: None,
         });
         let mut table = self.gateway.table();
-        let prefill = LoadCount { unread_tokens: self.load.unread_tokens, ..LoadCount::default() };
+        let prefill =
+            LoadCount { pending_prefill_tokens: self.load.pending_prefill_tokens, ..LoadCount::default() };
         table.release(self.key, prefill);
-        self.load.unread_tokens = 0;
+        self.load.pending_prefill_tokens = 0;
         drop(table);
         self.gateway.loads_changed.notify_one();
     }
@@ -137,7 +138,7 @@
     /// Records a refusal, with the backoff that the endpoint requested.
     pub(crate) fn record_refusal(&self, backoff_millis: Option<u64>) {
         let outcome = SendOutcome::Refused;
-        self.gateway.table().learn(self.key, outcome, self.gateway.now());
+        self.gateway.table().record_outcome(self.key, outcome, self.gateway.now());
         self.gateway.record_send(SendReport {
             key: self.key,
             outcome,
@@ -148,9 +149,9 @@
 
     /// Records the outcome of the send.
     pub(crate) fn record_outcome(&self, outcome: SendOutcome) {
-        self.gateway.table().learn(self.key, outcome, self.gateway.now());
+        self.gateway.table().record_outcome(self.key, outcome, self.gateway.now());
         if let Some(send) = &self.versioned {
-            self.gateway.observe_version(send, outcome);
+            self.gateway.record_version_outcome(send, outcome);
         }
         let is_served = matches!(outcome, SendOutcome::Answered | SendOutcome::Failed);
         if is_served && self.gateway.table().record_served(self.key, self.sent_at) {
--- a/crates/gateway/src/requests/relay.rs
+++ b/crates/gateway/src/requests/relay.rs
@@ -4,7 +4,7 @@
 //! own refusal makes "not run" true again. Second sends consume the retry budget.
 
 use crate::SendOutcome;
-use crate::clock::TimeIsUp;
+use crate::clock::DeadlinePassed;
 use crate::gateway::{CountGuard, Gateway};
 use crate::memory::{BodyFault, MemoryReservation, read_limited};
 use crate::operators::gateway_metrics::KindLabel;
@@ -45,7 +45,7 @@
     request: Request<Incoming>,
     disconnect: Arc<Notify>,
 ) -> Response<AnswerBody> {
-    gateway.until_fresh().await;
+    gateway.wait_until_current().await;
     let received_at = gateway.now();
     let (head, body) = request.into_parts();
     let context = match RequestContext::parse(&gateway, &head, received_at) {
@@ -90,7 +90,7 @@
     reservation: &MemoryReservation,
 ) -> Result<Bytes, OwnAnswer> {
     let max_bytes = gateway.routes().map_or(0, |table| table.config().limits.body_bytes);
-    match gateway.within(deadline, read_limited(body, max_bytes, reservation)).await {
+    match gateway.complete_before(deadline, read_limited(body, max_bytes, reservation)).await {
         Ok(Ok(content)) => Ok(content),
         Ok(Err(BodyFault::TooLong)) => {
             Err(OwnAnswer::plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"))
@@ -100,7 +100,7 @@
             gateway.metrics.memory.ends.get_or_create(&KindLabel::new("body")).inc();
             Err(OwnAnswer::not_run("no memory for its body", NO_MEMORY_RETRY_MILLIS))
         }
-        Err(TimeIsUp) => Err(OwnAnswer::plain(StatusCode::REQUEST_TIMEOUT, "the body came too slowly")),
+        Err(DeadlinePassed) => Err(OwnAnswer::plain(StatusCode::REQUEST_TIMEOUT, "the body came too slowly")),
     }
 }
 
@@ -165,7 +165,8 @@
         let ReceivedHead { head, body, flight } = received;
         return stream_relay::forward_stream(run, head, body, flight).await;
     }
-    let bytes = match run.gateway.within(run.context.deadline, read_answer(&mut received.body)).await {
+    let bytes = match run.gateway.complete_before(run.context.deadline, read_answer(&mut received.body)).await
+    {
         Ok(Ok(AnswerStart::Whole(bytes))) => bytes,
         Ok(Ok(AnswerStart::Long(prefix))) => return Ok(forward_long(run, received, prefix).await),
         Ok(Err(_)) => {
@@ -173,7 +174,7 @@
             run.record_broken(&received.flight);
             return Err(FailedAnswer { run, cause: "the answer broke off" });
         }
-        Err(TimeIsUp) => {
+        Err(DeadlinePassed) => {
             received.flight.record_outcome(SendOutcome::Silent);
             return Err(FailedAnswer { run, cause: "the answer did not end" });
         }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -117,7 +117,7 @@
         if follower.list_all().await {
             while follower.step(&mut received).await {}
         } else {
-            follower.gateway.until(follower.backoff_until).await;
+            follower.gateway.wait_until(follower.backoff_until).await;
         }
     }
 }
@@ -199,7 +199,7 @@
                 self.apply_message(message).await;
                 true
             }
-            () = self.gateway.until(poll_at.min(now.after_millis(ROLE_POLL_INTERVAL_MILLIS))) => {
+            () = self.gateway.wait_until(poll_at.min(now.after_millis(ROLE_POLL_INTERVAL_MILLIS))) => {
                 if now < poll_at { true } else { self.watch_once(received).await }
             }
         }
@@ -238,14 +238,14 @@
             return;
         }
         if let Some(micros) = update.trouble_micros {
-            self.gateway.note_store_trouble(Moment(now.0.saturating_sub(micros)));
+            self.gateway.record_store_failure(Moment(now.0.saturating_sub(micros)));
         }
         self.record_newest_position(update.to);
         if update.to > self.position && !self.apply_changes(vm, update, now).await {
             return;
         }
         self.confirmed_at = self.confirmed_at.max(Moment(now.0.saturating_sub(update.age_micros)));
-        self.gateway.list_standing().record_list_confirmation(self.confirmed_at);
+        self.gateway.list_membership().record_list_confirmation(self.confirmed_at);
         if self.is_polling && self.gateway.peers().precedes_as_leader(vm) {
             self.is_polling = false;
             log::info!(teller = vm.0, position:% = self.position; "watch.ceased");
@@ -263,7 +263,7 @@
         }
         let progress = match &update.body {
             UpdateBody::Unchanged => ReassemblyProgress::Whole(Vec::new()),
-            UpdateBody::Piece(fragment) => self.reassembly.take(vm, update.from, update.to, fragment),
+            UpdateBody::Piece(fragment) => self.reassembly.add_fragment(vm, update.from, update.to, fragment),
             UpdateBody::TooLarge => ReassemblyProgress::Unreadable,
         };
         match progress {
@@ -343,7 +343,7 @@
     /// snapshot the listing continues among the endpoints.
     async fn list_with_snapshot(&mut self, listing_progress: &mut ListingProgress) -> bool {
         // A VM that starts together with others has recorded the sources of snapshots only after a while.
-        self.gateway.until(self.started_at.after_millis(STARTUP_DELAY_MILLIS)).await;
+        self.gateway.wait_until(self.started_at.after_millis(STARTUP_DELAY_MILLIS)).await;
         let resume_key = listing_progress.last_key.replace(prefix_end(self.gateway.dialect.keys.endpoints));
         while !listing_progress.is_complete {
             if !self.list_page(listing_progress).await {
@@ -363,7 +363,7 @@
     /// Lists one page and applies it.
     async fn list_page(&mut self, listing_progress: &mut ListingProgress) -> bool {
         let call = (self.gateway.dialect.store.range)("", listing_progress.last_key.as_deref());
-        let decoder = self.gateway.dialect.store.read_range;
+        let decoder = self.gateway.dialect.store.decode_range;
         let Some(Ok(page)) = self.call("list", &call, Instant::now() + LIST_TIMEOUT, decoder).await else {
             return false;
         };
@@ -373,7 +373,7 @@
         listing_progress.record_page(page.position);
         listing_progress.last_key =
             page.items.last().map(|item| item.key.clone()).or(listing_progress.last_key.take());
-        listing_progress.is_complete = !page.more;
+        listing_progress.is_complete = !page.has_more;
         self.view.apply_page(page.items, &mut listing_progress.listing);
         true
     }
@@ -389,7 +389,7 @@
         let from = self.position;
         let call = (self.gateway.dialect.store.watch)("", from, long_poll_millis);
         let deadline = Instant::now() + Duration::from_millis(long_poll_millis) + WATCH_RESPONSE_TIMEOUT;
-        let decoder = self.gateway.dialect.store.read_watch;
+        let decoder = self.gateway.dialect.store.decode_watch;
         if is_regular_poll {
             self.record_polling();
         }
@@ -444,7 +444,7 @@
                     answer = &mut exchange => break answer,
                     Some(message) = received.recv() => self.apply_message(message).await,
                     // A call made before a suspension is made again: its answer may be lost long since.
-                    () = self.gateway.jumped.notified() => return None,
+                    () = self.gateway.clock_jumped.notified() => return None,
                 }
                 let is_behind = self.behind_since.is_some();
                 if was_behind && !is_behind {
@@ -462,9 +462,9 @@
         self.set_position(position);
         self.record_newest_position(position);
         self.confirmed_at = self.gateway.now();
-        self.gateway.list_standing().record_list_confirmation(self.confirmed_at);
+        self.gateway.list_membership().record_list_confirmation(self.confirmed_at);
         self.behind_since = None;
-        self.gateway.note_fresh();
+        self.gateway.mark_current();
     }
 
     fn set_position(&mut self, position: StorePosition) {
@@ -500,7 +500,7 @@
     ///
     /// VMs do so one after the other, in the order of their names, until a key is stored.
     async fn offer_peer_key(&mut self) {
-        if self.view.contains_key(PEER_KEY_KEY) || self.gateway.peers().own_rank() > self.watch_count {
+        if self.view.contains_key(PEER_KEY_KEY) || self.gateway.peers().own_name_index() > self.watch_count {
             return;
         }
         let key = self.gateway.peer_key().unwrap_or_else(rand::random::<PeerKey>);
@@ -511,7 +511,7 @@
         };
         let dialect = self.gateway.dialect.store;
         let deadline = Instant::now() + LIST_TIMEOUT;
-        match self.call("write", &(dialect.transact)(&transaction), deadline, dialect.read_transact).await {
+        match self.call("write", &(dialect.transact)(&transaction), deadline, dialect.decode_transact).await {
             Some(Ok(position)) => log::info!(position:%; "peer_key.offered"),
             // Another VM was first, or nothing was done: the watch returns the key, or it is offered again.
             Some(Err(error)) => log::info!(cause:% = error; "peer_key.not_taken"),
@@ -554,7 +554,7 @@
         };
         self.failures += 1;
         let now = self.gateway.now();
-        self.gateway.note_store_trouble(now);
+        self.gateway.record_store_failure(now);
         if self.failures == MIN_OUTAGE_FAILURES {
             log::warn!(dependency = "store", call = kind, cause = cause.as_str(); "dependency.lost");
         }
@@ -575,7 +575,7 @@
 
     fn record_answer(&mut self) {
         if self.failures >= MIN_OUTAGE_FAILURES {
-            self.gateway.note_store_trouble(self.gateway.now());
+            self.gateway.record_store_failure(self.gateway.now());
             log::info!(dependency = "store", failures = self.failures; "dependency.regained");
         }
         self.failures = 0;
--- a/crates/gateway/src/store/lease_keeper.rs
+++ b/crates/gateway/src/store/lease_keeper.rs
@@ -94,7 +94,7 @@
         lease_safe_until: Moment(0),
         free_since: None,
         terms: LeaseTerms::for_name_index(None),
-        peers_known_at: gateway.now().after_millis(STARTUP_DELAY_MILLIS),
+        peers_listed_at: gateway.now().after_millis(STARTUP_DELAY_MILLIS),
         failures: 0,
         right,
         gateway,
@@ -135,7 +135,7 @@
     /// Terms of the current lease.
     terms: LeaseTerms,
     /// The VMs that started together with this one are recorded from then on.
-    peers_known_at: Moment,
+    peers_listed_at: Moment,
     /// Consecutive failed calls.
     failures: u32,
     right: watch::Sender<OrderRight>,
@@ -154,7 +154,7 @@
 
     /// Returns this VM's index by name; none until the VMs that started together are recorded.
     fn name_index(&self) -> Option<usize> {
-        (self.gateway.now() >= self.peers_known_at).then(|| self.gateway.peers().own_rank())
+        (self.gateway.now() >= self.peers_listed_at).then(|| self.gateway.peers().own_name_index())
     }
 
     /// Whether the current lease is longer than that of a candidate. A new lease is then taken first.
@@ -175,7 +175,7 @@
         let sent_at = self.gateway.now();
         let dialect = self.gateway.dialect.store;
         if let Some(lease) = self.lease.filter(|_| !self.needs_shorter_lease()) {
-            match self.call("renew", &(dialect.renew)(lease.id), dialect.read_renew).await {
+            match self.call("renew", &(dialect.renew)(lease.id), dialect.decode_renew).await {
                 Some(Ok(ttl_millis)) => {
                     self.failures = 0;
                     self.record_renewal(sent_at, ttl_millis);
@@ -189,7 +189,7 @@
         let sent_at = self.gateway.now();
         self.terms = LeaseTerms::for_name_index(self.name_index());
         let call = (dialect.grant)(self.terms.lease_millis);
-        let Some(Ok(grant)) = self.call("grant", &call, dialect.read_grant).await else {
+        let Some(Ok(grant)) = self.call("grant", &call, dialect.decode_grant).await else {
             return self.next_failure_backoff();
         };
         if !self.write_entry(grant.lease).await {
@@ -213,7 +213,7 @@
     fn record_renewal(&mut self, sent_at: Moment, ttl_millis: u64) {
         self.lease_safe_until = sent_at.after_millis(ttl_millis.saturating_sub(LEASE_MARGIN_MILLIS));
         let safe_until = self.lease_safe_until;
-        self.gateway.list_standing().list_until(safe_until, self.gateway.now());
+        self.gateway.list_membership().record_listing(safe_until, self.gateway.now());
         self.right.send_modify(|right| {
             if right.fencing != 0 {
                 right.until = safe_until;
@@ -229,7 +229,7 @@
             StoreTransaction { writes: vec![(key, to_json(&entry), lease)], ..StoreTransaction::default() };
         let dialect = self.gateway.dialect.store;
         matches!(
-            self.call("write", &(dialect.transact)(&transaction), dialect.read_transact).await,
+            self.call("write", &(dialect.transact)(&transaction), dialect.decode_transact).await,
             Some(Ok(_))
         )
     }
@@ -247,7 +247,7 @@
         }
         let own = self.own_holder(lease.id);
         let holder = view.holder.as_ref().filter(|(_, position)| Some(position.era) == lease.era);
-        let ownership = holder.map(|(holder, position)| (holder.standing(&own), *position));
+        let ownership = holder.map(|(holder, position)| (holder.ownership(&own), *position));
         let takeover_delay_millis = self.takeover_delay_millis();
         let (expected_position, delay_millis) = match ownership {
             Some((LeaseOwnership::Own, position)) => {
@@ -275,7 +275,7 @@
             }
             None => {
                 let since = *self.free_since.get_or_insert(now);
-                let name_index = self.gateway.peers().own_rank() as u64;
+                let name_index = self.gateway.peers().own_name_index() as u64;
                 if now < since.after_millis(CLAIM_STEP_MILLIS * name_index) {
                     return;
                 }
@@ -303,7 +303,7 @@
             removals: Vec::new(),
         };
         let dialect = self.gateway.dialect.store;
-        let answer = self.call("write", &(dialect.transact)(&transaction), dialect.read_transact).await;
+        let answer = self.call("write", &(dialect.transact)(&transaction), dialect.decode_transact).await;
         if let Some(Ok(position)) = answer {
             let fencing = position.fencing();
             let from = self.gateway.now().after_millis(delay_millis);
@@ -331,7 +331,7 @@
         self.right.send_replace(OrderRight::default());
         self.drop_outdated_lease();
         if let Some(lease) = self.lease.take() {
-            let call = (self.gateway.dialect.store.end)(lease.id);
+            let call = (self.gateway.dialect.store.revoke)(lease.id);
             let decoder: StoreDecoder<()> = |_| Ok(());
             let _ = self.call("end", &call, decoder).await;
         }
@@ -345,7 +345,7 @@
     ) -> Option<Result<T, StoreRefusal>> {
         let result = self.link.call(kind, call, decoder).await;
         if matches!(result, None | Some(Err(StoreRefusal::NotDone(_)))) {
-            self.gateway.note_store_trouble(self.gateway.now());
+            self.gateway.record_store_failure(self.gateway.now());
         }
         result
     }
--- a/crates/gateway/src/store/snapshot_port.rs
+++ b/crates/gateway/src/store/snapshot_port.rs
@@ -69,16 +69,19 @@
 
 /// The snapshot that this VM serves.
 #[derive(Debug, Default)]
-pub(crate) struct CopyDesk(Mutex<SnapshotState>);
+pub(crate) struct SnapshotCache(Mutex<SnapshotState>);
 
-impl CopyDesk {
+impl SnapshotCache {
     fn state(&self) -> MutexGuard<'_, SnapshotState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Answers a request for a snapshot.
-pub(crate) fn answer_copy(gateway: &Gateway, request: &Request<Incoming>) -> Response<AnswerBody> {
+pub(crate) fn answer_snapshot_request(
+    gateway: &Gateway,
+    request: &Request<Incoming>,
+) -> Response<AnswerBody> {
     let (kind, response) = match try_answer(gateway, request) {
         Ok(content) => ("given", Response::new(full_body(content))),
         Err(status) => {
@@ -118,7 +121,7 @@
         return None;
     }
     let now = gateway.now();
-    let mut state = gateway.copies.state();
+    let mut state = gateway.snapshot_cache.state();
     if state.busy_until > now.after_millis(MAX_SEND_DELAY_MILLIS) {
         return None;
     }
@@ -136,9 +139,9 @@
 }
 
 /// Discards an expired snapshot: few are requested once all VMs have started.
-pub(crate) fn sweep_copies(gateway: &Gateway) {
+pub(crate) fn evict_expired_snapshot(gateway: &Gateway) {
     let now = gateway.now();
-    let mut state = gateway.copies.state();
+    let mut state = gateway.snapshot_cache.state();
     if state.packed.as_ref().is_some_and(|(_, valid_until)| now >= *valid_until) {
         state.packed = None;
     }
