--- a/crates/spanfoldd/tests/promises/at_most_once.rs
+++ b/crates/spanfoldd/tests/promises/at_most_once.rs
@@ -60,7 +60,7 @@
 async fn a_vm_killed_while_the_call_runs_leaves_the_outcome_unknown() {
     let mut deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     for service in deployment.services.values() {
-        service.work_for(1_500);
+        service.set_work_millis(1_500);
     }
     let first = {
         let call = book(&deployment, "vm-a1", "k", "slot 7");
--- a/crates/spanfoldd/tests/promises/cache_safety.rs
+++ b/crates/spanfoldd/tests/promises/cache_safety.rs
@@ -7,7 +7,7 @@
 
 /// Starts a deployment with one engine, so that a returning prompt is imported or computed there.
 async fn one_engine() -> Deployment {
-    let rates = EngineRates { memory_pieces: 64, prefill_micros: 40, ..EngineRates::default() };
+    let rates = EngineRates { memory_blocks: 64, prefill_micros: 40, ..EngineRates::default() };
     let engine = EnginePlan { name: "engine-a1".into(), data_centre: "dc-a".into(), rates, fenced: true };
     Deployment::start(DeploymentPlan { engines: vec![engine], ..DeploymentPlan::default() }).await.unwrap()
 }
@@ -57,7 +57,7 @@
     wait_until_stored(&deployment, 5).await;
     evict_from_engine(&deployment).await;
     // The index still contains the blocks, because the store's listing is read only once a second.
-    deployment.stores["store-a"].free_all();
+    deployment.stores["store-a"].release_all();
     assert_eq!(complete_prompt(&deployment, "small", &prompt).await.text, expected);
 }
 
--- a/crates/spanfoldd/tests/promises/orders.rs
+++ b/crates/spanfoldd/tests/promises/orders.rs
@@ -29,7 +29,7 @@
     }
     let deployment = Deployment::start(plan).await.unwrap();
     for engine in deployment.engines.values() {
-        engine.load_for(400);
+        engine.set_load_millis(400);
     }
     deployment.apply(&deployment.declarations().replace("version = 1", "version = 2")).await.unwrap();
     let mut max_loading = 0;
--- a/crates/spanfoldd/tests/promises/support.rs
+++ b/crates/spanfoldd/tests/promises/support.rs
@@ -1,5 +1,5 @@
 //! Helpers shared by the process tests.
-use spanfold_standin::{Deployment, DeploymentPlan, EnginePlan, EngineRates, PIECE_BYTES};
+use spanfold_standin::{Deployment, DeploymentPlan, EnginePlan, EngineRates, BLOCK_BYTES};
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 pub(crate) fn long_prompt(blocks: usize, subject: &str) -> String {
     let mut text = String::new();
     for line in 0.. {
-        if text.len() >= blocks * PIECE_BYTES + 40 {
+        if text.len() >= blocks * BLOCK_BYTES + 40 {
             break;
         }
         text.push_str(&format!("{subject}, rule {line}: an applicant brings form {}.\n", line * 7 % 97));
--- a/crates/spanfoldd/tests/promises/whole_path.rs
+++ b/crates/spanfoldd/tests/promises/whole_path.rs
@@ -37,7 +37,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_returning_prompt_is_imported_from_the_store() {
-    let rates = EngineRates { memory_pieces: 8, ..EngineRates::default() };
+    let rates = EngineRates { memory_blocks: 8, ..EngineRates::default() };
     let engine = EnginePlan { name: "engine-a1".into(), data_centre: "dc-a".into(), rates, fenced: true };
     let plan = DeploymentPlan { engines: vec![engine], ..DeploymentPlan::default() };
     let deployment = Deployment::start(plan).await.unwrap();
--- a/crates/standin/examples/bench.rs
+++ b/crates/standin/examples/bench.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 use spanfold_declare::{Document, Section};
-use spanfold_standin::{Caller, Deployment, DeploymentPlan, EnginePlan, EngineRates, PIECE_BYTES, StorePlan};
+use spanfold_standin::{Caller, Deployment, DeploymentPlan, EnginePlan, EngineRates, BLOCK_BYTES, StorePlan};
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -99,7 +99,7 @@
     let rates = EngineRates {
         prefill_micros: number(fleet, "prefill_us") as u64,
         decode_micros: number(fleet, "decode_us") as u64,
-        memory_pieces: integer(fleet, "memory_pieces"),
+        memory_blocks: integer(fleet, "memory_pieces"),
         slots: number(fleet, "slots") as u32,
         event_lag_millis: 100,
     };
@@ -164,7 +164,7 @@
             let document = random.random_range(0..integer(workload, "documents"));
             let manual = filler_text(
                 &format!("{account} manual {document}"),
-                integer(workload, "pieces") * PIECE_BYTES,
+                integer(workload, "pieces") * BLOCK_BYTES,
             );
             let tail = filler_text(&format!("question {call}"), integer(workload, "tail_bytes"));
             let send_offset = Duration::from_secs_f64(random.random_range(0.0..seconds));
@@ -173,7 +173,7 @@
         .collect();
     // A flood by the first large account: each prompt differs and is sent once.
     for call in 0..number_or_zero(workload, "flood") as usize {
-        let prompt = filler_text(&format!("flood {call}"), integer(workload, "pieces") * 3 * PIECE_BYTES);
+        let prompt = filler_text(&format!("flood {call}"), integer(workload, "pieces") * 3 * BLOCK_BYTES);
         let send_offset = Duration::from_secs_f64(random.random_range(0.0..seconds));
         calls.push(PlannedCall {
             account: "large-0".to_owned(),
@@ -191,11 +191,11 @@
     let (mut seen, mut computed, mut total) = (HashSet::new(), 0, 0);
     for call in calls {
         let bytes = call.prompt.as_bytes();
-        for end in (0..bytes.len()).step_by(PIECE_BYTES) {
-            let end = (end + PIECE_BYTES).min(bytes.len());
+        for end in (0..bytes.len()).step_by(BLOCK_BYTES) {
+            let end = (end + BLOCK_BYTES).min(bytes.len());
             let mut hasher = blake3::Hasher::new();
             hasher.update(call.account.as_bytes()).update(&[0]).update(&bytes[..end]);
-            let length = if end % PIECE_BYTES == 0 { PIECE_BYTES } else { end % PIECE_BYTES };
+            let length = if end % BLOCK_BYTES == 0 { BLOCK_BYTES } else { end % BLOCK_BYTES };
             total += length;
             if seen.insert(hasher.finalize()) {
                 computed += length;
--- a/crates/standin/examples/quickstart.rs
+++ b/crates/standin/examples/quickstart.rs
@@ -17,7 +17,7 @@
         engine.rates = EngineRates {
             prefill_micros: 200,
             decode_micros: 10_000,
-            memory_pieces: 24,
+            memory_blocks: 24,
             ..EngineRates::default()
         };
     }
@@ -65,7 +65,7 @@
 
 async fn wait_until_stored(deployment: &Deployment) {
     for _ in 0..100 {
-        if deployment.stores["store-a"].block_count() >= RULE_SHEET.len() / spanfold_standin::PIECE_BYTES {
+        if deployment.stores["store-a"].block_count() >= RULE_SHEET.len() / spanfold_standin::BLOCK_BYTES {
             return;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 /// Length of a whole block of a prompt.
-pub const PIECE_BYTES: usize = 4_096;
+pub const BLOCK_BYTES: usize = 4_096;
 
 /// The state after a prefix of the prompt's blocks.
 pub(crate) type PrefixState = [u8; 32];
@@ -46,7 +46,7 @@
 pub fn expected_answer(cache_salt: &str, version: &str, prompt: &str, tokens: u32) -> String {
     let state = prompt
         .as_bytes()
-        .chunks(PIECE_BYTES)
+        .chunks(BLOCK_BYTES)
         .fold(first_state(cache_salt, version), |state, block| next_state(&state, block));
     let answer_tokens: Vec<&str> = (0..tokens).map(|index| answer_token(&state, index)).collect();
     answer_tokens.iter().map(|token| format!("{token} ")).collect()
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -10,7 +10,7 @@
 };
 use crate::priority_gate::PriorityGate;
 use crate::server::{StandinBody, query_number, read_body, reply, reply_json, serve};
-use crate::{FaultSwitch, PIECE_BYTES};
+use crate::{FaultSwitch, BLOCK_BYTES};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, StreamBody};
 use hyper::body::{Frame, Incoming};
@@ -43,7 +43,7 @@
     /// Microseconds between generated tokens.
     pub decode_micros: u64,
     /// Number of blocks that fit into accelerator memory.
-    pub memory_pieces: usize,
+    pub memory_blocks: usize,
     /// Number of requests that run at once.
     pub slots: u32,
     /// Milliseconds until a cache event becomes readable.
@@ -52,7 +52,7 @@
 
 impl Default for EngineRates {
     fn default() -> Self {
-        Self { prefill_micros: 20, decode_micros: 1_000, memory_pieces: 64, slots: 8, event_lag_millis: 50 }
+        Self { prefill_micros: 20, decode_micros: 1_000, memory_blocks: 64, slots: 8, event_lag_millis: 50 }
     }
 }
 
@@ -210,7 +210,7 @@
     }
 
     /// Sets the time that each ordered load of weights takes.
-    pub fn load_for(&self, millis: u64) {
+    pub fn set_load_millis(&self, millis: u64) {
         self.state.load_millis.store(millis, Ordering::SeqCst);
     }
 
@@ -419,8 +419,8 @@
         usage.import_micros = started_at.elapsed().as_micros() as u64;
     }
     let (mut none_missing, mut none_computed) = (true, true);
-    for (index, block) in run_request.prompt.as_bytes().chunks(PIECE_BYTES).enumerate() {
-        let key = keys.get(index).filter(|_| block.len() == PIECE_BYTES);
+    for (index, block) in run_request.prompt.as_bytes().chunks(BLOCK_BYTES).enumerate() {
+        let key = keys.get(index).filter(|_| block.len() == BLOCK_BYTES);
         let cached = key.filter(|_| none_missing).and_then(|key| find_block(state, key));
         let fetched = key.filter(|_| none_missing).and_then(|key| imported.get(key).copied());
         if let Some(cached) = cached {
--- a/crates/standin/src/engine_cache.rs
+++ b/crates/standin/src/engine_cache.rs
@@ -62,7 +62,7 @@
     if memory.blocks.insert(key.to_owned(), CachedBlock { state: prefix_state, last_used }).is_none() {
         record_event(&mut memory, "stored", key);
     }
-    while memory.blocks.len() > state.rates.memory_pieces {
+    while memory.blocks.len() > state.rates.memory_blocks {
         let Some(oldest) =
             memory.blocks.iter().min_by_key(|(_, block)| block.last_used).map(|(key, _)| key.clone())
         else {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -24,7 +24,7 @@
 mod service;
 mod store;
 
-pub use answer::{PIECE_BYTES, expected_answer, render_messages};
+pub use answer::{BLOCK_BYTES, expected_answer, render_messages};
 pub use authority::{CertificateAuthority, write_identity};
 pub use caller::{Answer, Caller, CallerError};
 pub use deployment::{Deployment, DeploymentPlan, EnginePlan, MAX_START_ATTEMPTS, StorePlan, VmPorts};
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -62,7 +62,7 @@
     }
 
     /// Sets the delay of each answer after its call has run.
-    pub fn work_for(&self, millis: u64) {
+    pub fn set_work_millis(&self, millis: u64) {
         self.state.work_millis.store(millis, Ordering::SeqCst);
     }
 }
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -103,7 +103,7 @@
     }
 
     /// Releases all blocks; only listings show it.
-    pub fn free_all(&self) {
+    pub fn release_all(&self) {
         let mut table = lock(&self.state.table);
         let keys: Vec<String> = table.blocks.keys().cloned().collect();
         for key in keys {
