--- a/crates/entity/src/dense.rs
+++ b/crates/entity/src/dense.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns the row at `index`, adding default rows up to it if it does not exist.
-    pub fn at_or_default(&mut self, index: K) -> &mut V
+    pub fn get_or_insert_default(&mut self, index: K) -> &mut V
     where
         V: Default,
     {
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -24,7 +24,7 @@
 };
 pub use inventory;
 pub use kernel::Kernel;
-pub use message::{Ask, Beat, ClaimAsk, ClaimVerdict, Grant, Import, InFlightRow, Message};
+pub use message::{Ask, Beat, ClaimRequest, ClaimVerdict, Grant, Import, InFlightRow, Message};
 pub use plugin::{Context, PluginEntry, PluginState};
 pub use rendezvous::{rendezvous, rendezvous_order, spread};
 pub use session::{SessionError, SessionLine, StartLine, replay};
--- a/crates/kernel/src/message.rs
+++ b/crates/kernel/src/message.rs
@@ -104,7 +104,7 @@
 
 /// A request for a claim, sent to the shard's home VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// The shard.
     pub shard: u32,
     /// The ticket; its deadline is in the sender's clock.
@@ -151,7 +151,7 @@
         requests: Vec<InFlightRow>,
     },
     /// A request for a claim.
-    Claim(ClaimAsk),
+    Claim(ClaimRequest),
     /// The answer to a request for a claim.
     ClaimReply {
         /// Number of the request at the requesting VM.
--- a/crates/kernel/src/world.rs
+++ b/crates/kernel/src/world.rs
@@ -51,7 +51,7 @@
     /// Whether the VM itself or the VM list reports that it is departing.
     pub leaving: bool,
     /// The VM is considered alive until this moment, as of its last heartbeat.
-    pub alive_until: Moment,
+    pub heartbeat_deadline: Moment,
     /// Its configuration generation, as last reported by it.
     pub generation: u64,
     /// Its incarnation, as last reported by it.
@@ -67,9 +67,9 @@
     /// Its data centre.
     pub data_centre: String,
     /// Whether the VM list reports that it is departing.
-    pub list_leaving: bool,
+    pub listed_departing: bool,
     /// Whether the endpoint itself reports that it is departing.
-    pub self_leaving: bool,
+    pub reported_departing: bool,
     /// Whether the operator is taking it out of service.
     pub draining: bool,
     /// After failures, it gets no work before this moment.
@@ -90,8 +90,8 @@
     fn default() -> Self {
         Self {
             data_centre: String::new(),
-            list_leaving: false,
-            self_leaving: false,
+            listed_departing: false,
+            reported_departing: false,
             draining: false,
             ejected_until: Moment(0),
             failures: 0,
@@ -107,8 +107,8 @@
     /// Whether it may get new work at `now`.
     pub fn takes_work(&self, now: Moment) -> bool {
         self.declared
-            && !self.list_leaving
-            && !self.self_leaving
+            && !self.listed_departing
+            && !self.reported_departing
             && !self.draining
             && now >= self.ejected_until
     }
@@ -161,7 +161,7 @@
             return;
         }
         let me = self.vm_names.intern(&self.me);
-        self.vms.at_or_default(me).data_centre.clone_from(&self.data_centre);
+        self.vms.get_or_insert_default(me).data_centre.clone_from(&self.data_centre);
     }
 
     /// Returns the entry VMs of `data_centre` that may hold roles at `now`, by index.
@@ -181,7 +181,7 @@
         if self.vm_names.name(index) == self.me {
             return !self.stopping;
         }
-        let is_alive = if row.data_centre == self.data_centre { now < row.alive_until } else { row.listed };
+        let is_alive = if row.data_centre == self.data_centre { now < row.heartbeat_deadline } else { row.listed };
         is_alive && !row.leaving
     }
 
@@ -197,7 +197,7 @@
 
     fn is_reported_unavailable(&self, endpoint: &str, now: Moment) -> bool {
         let reporters =
-            self.vms.iter().filter(|(_, row)| now < row.alive_until.after_millis(REPORT_RETENTION_MILLIS));
+            self.vms.iter().filter(|(_, row)| now < row.heartbeat_deadline.after_millis(REPORT_RETENTION_MILLIS));
         reporters.flat_map(|(_, row)| &row.unwell).any(|name| name == endpoint)
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Returns the entry VM that holds `role` among those of all data centres.
-    pub fn holder_anywhere<'a>(&'a self, role: &str, now: Moment) -> Option<&'a str> {
+    pub fn global_role_holder<'a>(&'a self, role: &str, now: Moment) -> Option<&'a str> {
         let live_vms = self.vms.iter().filter(|(index, _)| self.is_live(*index, now));
         rendezvous(role, live_vms.map(|(index, _)| self.vm_names.name(index)))
     }
--- a/crates/keyvalue/src/lib.rs
+++ b/crates/keyvalue/src/lib.rs
@@ -1,7 +1,7 @@
 //! Clients of the platform: its key-value service and its VM list.
 //!
 //! - [`KeyValueClient`] uses etcd v3's JSON gateway and counts its calls by kind.
-//! - [`ListClient`] reads the VM list.
+//! - [`VmListClient`] reads the VM list.
 //! - [`PlatformError`] distinguishes calls that were not sent from those of unknown outcome.
 //! - [`ConfigurationHead`] is the record that names the accepted configuration.
 
@@ -13,4 +13,4 @@
 pub use head::{AcceptError, ConfigurationHead, HEAD_KEY, accept_bundle, chunk_key, read_bundle};
 pub use http::{PlatformError, post_json, read_json};
 pub use key_value::{CallCounts, KeyValueClient, StoredValue, SwapOutcome};
-pub use list::{ListClient, PlatformVm};
+pub use list::{VmListClient, PlatformVm};
--- a/crates/keyvalue/src/list.rs
+++ b/crates/keyvalue/src/list.rs
@@ -34,18 +34,18 @@
 
 /// A client of the VM list.
 #[derive(Clone, Debug)]
-pub struct ListClient {
+pub struct VmListClient {
     client: JsonClient,
     address: SocketAddr,
 }
 
-impl ListClient {
+impl VmListClient {
     /// Creates a client of the list at `address`.
     ///
     /// # Examples
     /// ```
-    /// use spanfold_keyvalue::ListClient;
-    /// let _client = ListClient::new("127.0.0.1:2380".parse().unwrap());
+    /// use spanfold_keyvalue::VmListClient;
+    /// let _client = VmListClient::new("127.0.0.1:2380".parse().unwrap());
     /// ```
     pub fn new(address: SocketAddr) -> Self {
         Self { client: json_client(), address }
--- a/crates/policy/examples/kernel_cost.rs
+++ b/crates/policy/examples/kernel_cost.rs
@@ -48,7 +48,7 @@
         ..World::default()
     };
     let me = world.vm_names.intern("vm");
-    world.vms.at_or_default(me).data_centre = "d".into();
+    world.vms.get_or_insert_default(me).data_centre = "d".into();
     let mut kernel = Kernel::new(world);
     let vm = ListedVm {
         name: "vm".into(),
--- a/crates/policy/src/cell.rs
+++ b/crates/policy/src/cell.rs
@@ -103,12 +103,12 @@
     }
 
     /// Returns the number of blocks recorded as cached at engines of this VM's cells.
-    pub fn held_count(&self) -> usize {
+    pub fn cached_block_count(&self) -> usize {
         self.cells.values().map(CellState::cached_block_count).sum()
     }
 
     /// Returns the number of stored blocks that this VM has indexed.
-    pub fn cached_count(&self) -> usize {
+    pub fn stored_block_count(&self) -> usize {
         self.store_indexes.values().map(StoreIndex::len).sum()
     }
 
@@ -203,7 +203,7 @@
         let is_dead = |vm| {
             let row = &world.vms[vm];
             let is_local = row.data_centre == world.data_centre;
-            world.vm_names.name(vm) != world.me && if is_local { now >= row.alive_until } else { !row.listed }
+            world.vm_names.name(vm) != world.me && if is_local { now >= row.heartbeat_deadline } else { !row.listed }
         };
         for cell in self.cells.values_mut() {
             let orphaned: Vec<RequestKey> =
@@ -222,7 +222,7 @@
             self.open_cell(context.world, &cell);
         }
         let vm = context.world.vm_names.intern(from);
-        context.world.vms.at_or_default(vm);
+        context.world.vms.get_or_insert_default(vm);
         let key = (vm, request.request);
         let account = context.world.account_names.intern(&request.account);
         let Some(cell) = self.cells.get_mut(&request.cell) else {
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
 use spanfold_kernel::{
-    ClaimAsk, ClaimTicket, ClaimVerdict, Context, CreateReply, Effect, Event, LogEntry, Message, World,
+    ClaimRequest, ClaimTicket, ClaimVerdict, Context, CreateReply, Effect, Event, LogEntry, Message, World,
     register_plugin,
 };
 use std::collections::{BTreeMap, HashMap};
@@ -177,7 +177,7 @@
         // Clocks differ between VMs, so the message carries the time left.
         let mut ticket = ticket.clone();
         ticket.deadline = Moment(ticket.deadline.micros_since(context.now));
-        context.send(&home, Message::Claim(ClaimAsk { shard, ticket }));
+        context.send(&home, Message::Claim(ClaimRequest { shard, ticket }));
     }
 
     /// Applies the first verdict on an attempt; later ones match no pending claim.
@@ -406,7 +406,7 @@
 
 fn home_of(context: &Context<'_>, shard: u32) -> String {
     let role = format!("claim/{shard}");
-    let home = context.world.holder_anywhere(&role, context.now);
+    let home = context.world.global_role_holder(&role, context.now);
     home.unwrap_or(&context.world.me).to_owned()
 }
 
--- a/crates/policy/src/configuration.rs
+++ b/crates/policy/src/configuration.rs
@@ -280,7 +280,7 @@
     }
     for endpoint in catalogue.declarations.endpoints.values() {
         let index = world.endpoint_names.intern(&endpoint.name);
-        let row = world.endpoints.at_or_default(index);
+        let row = world.endpoints.get_or_insert_default(index);
         row.declared = true;
         row.draining = endpoint.draining;
         endpoint.data_centre.clone_into(&mut row.data_centre);
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -80,7 +80,7 @@
     for vm in vms.iter().filter(|vm| vm.role == VmRole::Endpoint) {
         let Some(index) = world.endpoint_names.find(&vm.name) else { continue };
         // The list lags, so a `Live` row withdraws only a departure that the list itself reported.
-        world.endpoints[index].list_leaving = vm.state == VmState::Leaving;
+        world.endpoints[index].listed_departing = vm.state == VmState::Leaving;
     }
 }
 
@@ -90,7 +90,7 @@
     match ready {
         Some(true) => {
             let row = &mut context.world.endpoints[index];
-            row.self_leaving = false;
+            row.reported_departing = false;
             row.running = running;
             row.waiting = waiting;
             if context.now >= row.ejected_until {
@@ -98,8 +98,8 @@
             }
         }
         Some(false) => {
-            if !context.world.endpoints[index].self_leaving {
-                context.world.endpoints[index].self_leaving = true;
+            if !context.world.endpoints[index].reported_departing {
+                context.world.endpoints[index].reported_departing = true;
                 context.log("endpoint.leaving", endpoint);
             }
         }
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -100,7 +100,7 @@
 ///
 /// All other signs reach each VM without a heartbeat.
 fn unhealthy_endpoints(world: &World, now: Moment) -> Vec<String> {
-    let is_unhealthy = |row: &EndpointRow| row.declared && (row.self_leaving || now < row.ejected_until);
+    let is_unhealthy = |row: &EndpointRow| row.declared && (row.reported_departing || now < row.ejected_until);
     let rows = world.endpoints.iter().filter(|(_, row)| is_unhealthy(row));
     rows.map(|(index, _)| world.endpoint_names.name(index).to_owned()).collect()
 }
@@ -110,7 +110,7 @@
     let local_vms = world.vms.iter().filter(|(index, row)| {
         row.data_centre == *own_centre
             && world.vm_names.name(*index) != world.me
-            && (row.listed || now < row.alive_until)
+            && (row.listed || now < row.heartbeat_deadline)
     });
     let mut targets: Vec<String> =
         local_vms.map(|(index, _)| world.vm_names.name(index).to_owned()).collect();
@@ -140,7 +140,7 @@
     }
     for vm in vms.iter().filter(|vm| vm.role == VmRole::Entry) {
         let index = world.vm_names.intern(&vm.name);
-        let row = world.vms.at_or_default(index);
+        let row = world.vms.get_or_insert_default(index);
         let was_recorded = row.incarnation != 0 || !row.data_centre.is_empty();
         vm.data_centre.clone_into(&mut row.data_centre);
         vm.address.clone_into(&mut row.address);
@@ -150,7 +150,7 @@
             row.leaving = true;
         } else if !was_recorded {
             // A VM counts as live when first listed, so that roles do not wait for a heartbeat.
-            row.alive_until = context.now.after_millis(SILENCE_TIMEOUT_MILLIS);
+            row.heartbeat_deadline = context.now.after_millis(SILENCE_TIMEOUT_MILLIS);
         }
     }
 }
@@ -158,12 +158,12 @@
 fn apply_heartbeat(context: &mut Context<'_>, from: &str, heartbeat: &Beat) {
     let own_centre = context.world.data_centre.clone();
     let index = context.world.vm_names.intern(from);
-    let row = context.world.vms.at_or_default(index);
+    let row = context.world.vms.get_or_insert_default(index);
     if row.data_centre.is_empty() {
         // A peer that the VM list does not contain yet sends heartbeats only within its data centre.
         row.data_centre = own_centre;
     }
-    row.alive_until = context.now.after_millis(SILENCE_TIMEOUT_MILLIS);
+    row.heartbeat_deadline = context.now.after_millis(SILENCE_TIMEOUT_MILLIS);
     row.generation = heartbeat.generation;
     row.unwell.clone_from(&heartbeat.unwell);
     if !heartbeat.orders_holder.is_empty() {
--- a/crates/policy/tests/fake/mod.rs
+++ b/crates/policy/tests/fake/mod.rs
@@ -102,7 +102,7 @@
         ..World::default()
     };
     let me = world.vm_names.intern(name);
-    world.vms.at_or_default(me).data_centre = centre.into();
+    world.vms.get_or_insert_default(me).data_centre = centre.into();
     Kernel::new(world)
 }
 
--- a/crates/spanfoldd/src/shared.rs
+++ b/crates/spanfoldd/src/shared.rs
@@ -10,7 +10,7 @@
 use spanfold_declare::{Catalogue, Settings};
 use spanfold_entity::Moment;
 use spanfold_kernel::Event;
-use spanfold_keyvalue::{KeyValueClient, ListClient};
+use spanfold_keyvalue::{KeyValueClient, VmListClient};
 use spanfold_peer::PeerNode;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
     pub metrics: MetricsTable,
     pub endpoints: EndpointClient,
     pub key_value: KeyValueClient,
-    pub vm_list: ListClient,
+    pub vm_list: VmListClient,
     pub peers: PeerNode,
     pub traffic: tokio::runtime::Handle,
     control: OnceLock<ActorRef<ControlActor>>,
@@ -59,7 +59,7 @@
         let SharedParts { settings, keys, incarnation, peers, origin } = parts;
         Self {
             key_value: KeyValueClient::new(settings.key_value),
-            vm_list: ListClient::new(settings.vm_list),
+            vm_list: VmListClient::new(settings.vm_list),
             settings,
             keys,
             incarnation,
