--- a/crates/kernel/src/event.rs
+++ b/crates/kernel/src/event.rs
@@ -25,9 +25,9 @@
     ///
     /// # Examples
     /// ```
-    /// assert_eq!(spanfold_kernel::RanState::No.word(), "no");
+    /// assert_eq!(spanfold_kernel::RanState::No.label(), "no");
     /// ```
-    pub const fn word(self) -> &'static str {
+    pub const fn label(self) -> &'static str {
         match self {
             Self::No => "no",
             Self::Yes => "yes",
@@ -91,7 +91,7 @@
 
 /// Where the endpoint obtained the prompt's state, in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Usage {
+pub struct PromptUsage {
     /// Tokens found in the engine's memory.
     pub cached: u32,
     /// Tokens imported from a store.
@@ -108,7 +108,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The first token was produced.
-    FirstToken(Usage),
+    FirstToken(PromptUsage),
     /// The answer is complete, with this number of generated tokens.
     Complete(u32),
     /// The endpoint failed the request.
--- a/crates/kernel/src/kernel.rs
+++ b/crates/kernel/src/kernel.rs
@@ -32,7 +32,7 @@
     /// ```
     /// use spanfold_entity::Moment;
     /// use spanfold_kernel::{Event, Kernel, World};
-    /// let mut kernel = Kernel::new(World { me: "vm-1".into(), ..World::default() });
+    /// let mut kernel = Kernel::new(World { own_name: "vm-1".into(), ..World::default() });
     /// assert!(kernel.step(Moment(0), Event::Tick).is_empty());
     /// ```
     ///
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -20,12 +20,14 @@
 
 pub use event::{
     Arrival, ClaimTicket, CreateReply, Effect, Event, FailureKind, ListedVm, LoadedWeights, LogEntry,
-    Outcome, RanState, RefusalKind, Usage, VmRole, VmState,
+    Outcome, PromptUsage, RanState, RefusalKind, VmRole, VmState,
 };
 pub use inventory;
 pub use kernel::Kernel;
-pub use message::{Ask, Beat, ClaimRequest, ClaimVerdict, Grant, Import, InFlightRow, Message};
+pub use message::{
+    ClaimRequest, ClaimVerdict, EndpointRequest, Grant, Import, InFlightRow, Message, VmHeartbeat,
+};
 pub use plugin::{Context, PluginEntry, PluginState};
-pub use rendezvous::{rendezvous, rendezvous_order, spread};
+pub use rendezvous::{hash_pair, rendezvous, rendezvous_order};
 pub use session::{SessionError, SessionLine, StartLine, replay};
 pub use world::{AccountIndex, EndpointIndex, EndpointRow, VmIndex, VmRow, World};
--- a/crates/kernel/src/message.rs
+++ b/crates/kernel/src/message.rs
@@ -9,7 +9,7 @@
 
 /// A heartbeat of an entry VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct VmHeartbeat {
     /// Differs at each start of the sender.
     pub incarnation: u64,
     /// Whether the sender is stopping.
@@ -25,7 +25,7 @@
 
 /// A request of an entry VM to a cell's home VM for an endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct EndpointRequest {
     /// Number of the request at the requesting VM.
     pub request: u64,
     /// The cell.
@@ -115,9 +115,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// A heartbeat.
-    Beat(Beat),
+    Beat(VmHeartbeat),
     /// A request for an endpoint.
-    Ask(Ask),
+    Ask(EndpointRequest),
     /// An endpoint granted for a request.
     Grant(Grant),
     /// The home VM has queued the request.
--- a/crates/kernel/src/plugin.rs
+++ b/crates/kernel/src/plugin.rs
@@ -95,7 +95,7 @@
 
     /// Sends `message` to `to`; one to this VM is raised as received in the same step.
     pub fn send(&mut self, to: &str, message: Message) {
-        if to == self.world.me {
+        if to == self.world.own_name {
             self.raise(Event::Receive { from: to.to_owned(), message });
         } else {
             self.emit(Effect::Send { to: to.to_owned(), message });
--- a/crates/kernel/src/rendezvous.rs
+++ b/crates/kernel/src/rendezvous.rs
@@ -15,7 +15,7 @@
 /// assert_ne!(rendezvous("cell", others), Some(holder));
 /// ```
 pub fn rendezvous<'a>(key: &str, candidates: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    candidates.max_by_key(|candidate| (spread(key, candidate), *candidate))
+    candidates.max_by_key(|candidate| (hash_pair(key, candidate), *candidate))
 }
 
 /// Returns the candidates from the highest hash for `key` to the lowest.
@@ -28,7 +28,7 @@
 /// ```
 pub fn rendezvous_order<'a>(key: &str, candidates: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     let mut order: Vec<_> = candidates.collect();
-    order.sort_by_key(|candidate| std::cmp::Reverse((spread(key, candidate), *candidate)));
+    order.sort_by_key(|candidate| std::cmp::Reverse((hash_pair(key, candidate), *candidate)));
     order
 }
 
@@ -36,10 +36,10 @@
 ///
 /// # Examples
 /// ```
-/// use spanfold_kernel::spread;
-/// assert_ne!(spread("ab", "c"), spread("a", "bc"));
+/// use spanfold_kernel::hash_pair;
+/// assert_ne!(hash_pair("ab", "c"), hash_pair("a", "bc"));
 /// ```
-pub fn spread(left: &str, right: &str) -> u64 {
+pub fn hash_pair(left: &str, right: &str) -> u64 {
     let mut hash = fnv(0xcbf2_9ce4_8422_2325, left.as_bytes());
     hash = fnv(hash ^ 0xff, &[0xff]);
     mix(fnv(hash, right.as_bytes()))
--- a/crates/kernel/src/session.rs
+++ b/crates/kernel/src/session.rs
@@ -49,7 +49,7 @@
     /// Returns the start line of a session whose kernel is created with `world`.
     pub fn start(world: &World) -> Self {
         Self::Start(StartLine {
-            me: world.me.clone(),
+            me: world.own_name.clone(),
             data_centre: world.data_centre.clone(),
             incarnation: world.incarnation,
             variant: world.variant.clone(),
@@ -128,7 +128,7 @@
             SessionLine::Comment(comment) => push_line(&mut output, &comment),
             SessionLine::Start(ref start) => {
                 kernel = Kernel::new(World {
-                    me: start.me.clone(),
+                    own_name: start.me.clone(),
                     data_centre: start.data_centre.clone(),
                     incarnation: start.incarnation,
                     variant: start.variant.clone(),
--- a/crates/kernel/src/world.rs
+++ b/crates/kernel/src/world.rs
@@ -49,7 +49,7 @@
     /// Whether the VM list shows it as live.
     pub listed: bool,
     /// Whether the VM itself or the VM list reports that it is departing.
-    pub leaving: bool,
+    pub departing: bool,
     /// The VM is considered alive until this moment, as of its last heartbeat.
     pub heartbeat_deadline: Moment,
     /// Its configuration generation, as last reported by it.
@@ -57,7 +57,7 @@
     /// Its incarnation, as last reported by it.
     pub incarnation: u64,
     /// Endpoints that, by its last report, accept no work.
-    pub unwell: Vec<String>,
+    pub unavailable_endpoints: Vec<String>,
 }
 
 /// State of an endpoint as seen by this VM.
@@ -105,7 +105,7 @@
 
 impl EndpointRow {
     /// Whether it may get new work at `now`.
-    pub fn takes_work(&self, now: Moment) -> bool {
+    pub fn accepts_work(&self, now: Moment) -> bool {
         self.declared
             && !self.listed_departing
             && !self.reported_departing
@@ -121,7 +121,7 @@
 #[derive(Debug, Default)]
 pub struct World {
     /// This VM's name.
-    pub me: String,
+    pub own_name: String,
     /// This VM's data centre.
     pub data_centre: String,
     /// Number that differs at each start of this VM.
@@ -151,17 +151,17 @@
     /// Holder of the lease on orders, as far as this VM has read or received it; empty if unknown.
     pub orders_holder: String,
     /// Version that increases whenever the set of live entry VMs changes.
-    pub membership: u64,
+    pub membership_version: u64,
 }
 
 impl World {
     /// Adds the row of this VM, if it has a name.
     pub(crate) fn insert_own_vm(&mut self) {
-        if self.me.is_empty() {
+        if self.own_name.is_empty() {
             return;
         }
-        let me = self.vm_names.intern(&self.me);
-        self.vms.get_or_insert_default(me).data_centre.clone_from(&self.data_centre);
+        let own_index = self.vm_names.intern(&self.own_name);
+        self.vms.get_or_insert_default(own_index).data_centre.clone_from(&self.data_centre);
     }
 
     /// Returns the entry VMs of `data_centre` that may hold roles at `now`, by index.
@@ -178,11 +178,12 @@
     /// Heartbeats are sent only within a data centre; for VMs of another one, the VM list decides.
     pub fn is_live(&self, index: VmIndex, now: Moment) -> bool {
         let row = &self.vms[index];
-        if self.vm_names.name(index) == self.me {
+        if self.vm_names.name(index) == self.own_name {
             return !self.stopping;
         }
-        let is_alive = if row.data_centre == self.data_centre { now < row.heartbeat_deadline } else { row.listed };
-        is_alive && !row.leaving
+        let is_alive =
+            if row.data_centre == self.data_centre { now < row.heartbeat_deadline } else { row.listed };
+        is_alive && !row.departing
     }
 
     /// Whether the endpoint at `index` may get new work, by this VM's information.
@@ -191,18 +192,20 @@
     /// decide; they stay valid for a while after a VM fails, until its successor has probed.
     pub fn may_get_work(&self, index: EndpointIndex, now: Moment) -> bool {
         let row = &self.endpoints[index];
-        row.takes_work(now)
+        row.accepts_work(now)
             && (row.probed || !self.is_reported_unavailable(self.endpoint_names.name(index), now))
     }
 
     fn is_reported_unavailable(&self, endpoint: &str, now: Moment) -> bool {
-        let reporters =
-            self.vms.iter().filter(|(_, row)| now < row.heartbeat_deadline.after_millis(REPORT_RETENTION_MILLIS));
-        reporters.flat_map(|(_, row)| &row.unwell).any(|name| name == endpoint)
+        let reporters = self
+            .vms
+            .iter()
+            .filter(|(_, row)| now < row.heartbeat_deadline.after_millis(REPORT_RETENTION_MILLIS));
+        reporters.flat_map(|(_, row)| &row.unavailable_endpoints).any(|name| name == endpoint)
     }
 
     /// Returns the entry VM of `data_centre` that holds `role`.
-    pub fn holder<'a>(&'a self, role: &str, data_centre: &str, now: Moment) -> Option<&'a str> {
+    pub fn role_holder<'a>(&'a self, role: &str, data_centre: &str, now: Moment) -> Option<&'a str> {
         rendezvous(role, self.live_vms(data_centre, now).into_iter())
     }
 
--- a/crates/kernel/tests/plugin.rs
+++ b/crates/kernel/tests/plugin.rs
@@ -18,7 +18,7 @@
             && plugin == "echo"
         {
             self.received_count += 1;
-            let text = format!("{} {text} {}", context.world.me, self.received_count);
+            let text = format!("{} {text} {}", context.world.own_name, self.received_count);
             context.emit(Effect::Custom { plugin: plugin.clone(), text });
         }
     }
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_plugin_registers_itself_and_handles_events() {
-    let mut kernel = Kernel::new(World { me: "vm-1".into(), ..World::default() });
+    let mut kernel = Kernel::new(World { own_name: "vm-1".into(), ..World::default() });
     assert_eq!(kernel.plugin_names(), ["echo"]);
     let event = Event::Custom { plugin: "echo".into(), text: "hi".into() };
     let effects = kernel.step(Moment(1), event.clone());
--- a/crates/kernel/tests/session.rs
+++ b/crates/kernel/tests/session.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn a_new_kernel_contains_its_own_vm_row() {
-    let world = World { me: "vm-1".into(), data_centre: "dc-a".into(), ..World::default() };
+    let world = World { own_name: "vm-1".into(), data_centre: "dc-a".into(), ..World::default() };
     let kernel = Kernel::new(world);
     let rows: Vec<_> = kernel
         .world()
--- a/crates/keyvalue/src/lib.rs
+++ b/crates/keyvalue/src/lib.rs
@@ -13,4 +13,4 @@
 pub use head::{AcceptError, ConfigurationHead, HEAD_KEY, accept_bundle, chunk_key, read_bundle};
 pub use http::{PlatformError, post_json, read_json};
 pub use key_value::{CallCounts, KeyValueClient, StoredValue, SwapOutcome};
-pub use list::{VmListClient, PlatformVm};
+pub use list::{PlatformVm, VmListClient};
--- a/crates/policy/examples/kernel_cost.rs
+++ b/crates/policy/examples/kernel_cost.rs
@@ -6,7 +6,7 @@
 
 use spanfold_declare::{Catalogue, Declarations, Document};
 use spanfold_entity::Moment;
-use spanfold_kernel::{Arrival, Event, Kernel, ListedVm, Outcome, Usage, VmRole, VmState, World};
+use spanfold_kernel::{Arrival, Event, Kernel, ListedVm, Outcome, PromptUsage, VmRole, VmState, World};
 use spanfold_policy as _;
 use std::sync::Arc;
 use std::time::Instant;
@@ -39,7 +39,7 @@
     let parse_time = started_at.elapsed();
     drop(document);
     let mut world = World {
-        me: "vm".into(),
+        own_name: "vm".into(),
         data_centre: "d".into(),
         incarnation: 1,
         variant: "spanfold".into(),
@@ -47,8 +47,8 @@
         flush_millis: 40,
         ..World::default()
     };
-    let me = world.vm_names.intern("vm");
-    world.vms.get_or_insert_default(me).data_centre = "d".into();
+    let own_index = world.vm_names.intern("vm");
+    world.vms.get_or_insert_default(own_index).data_centre = "d".into();
     let mut kernel = Kernel::new(world);
     let vm = ListedVm {
         name: "vm".into(),
@@ -97,7 +97,8 @@
     for request in 0..REQUESTS {
         now += 100;
         kernel.step(Moment(now), Event::Arrive(arrival(request, accounts)));
-        let usage = Usage { cached: 7_168, computed: 132, compute_micros: 3_000, ..Usage::default() };
+        let usage =
+            PromptUsage { cached: 7_168, computed: 132, compute_micros: 3_000, ..PromptUsage::default() };
         kernel.step(Moment(now + 1), Event::Progress { request, outcome: Outcome::FirstToken(usage) });
         kernel.step(Moment(now + 2), Event::Progress { request, outcome: Outcome::Complete(200) });
     }
--- a/crates/policy/src/cell.rs
+++ b/crates/policy/src/cell.rs
@@ -15,8 +15,8 @@
 use spanfold_declare::EndpointKind;
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 use spanfold_kernel::{
-    Ask, Context, Effect, Event, Grant, InFlightRow, Message, Outcome, RefusalKind, Usage, World,
-    register_plugin, rendezvous,
+    Context, Effect, EndpointRequest, Event, Grant, InFlightRow, Message, Outcome, PromptUsage, RefusalKind,
+    World, register_plugin, rendezvous,
 };
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
@@ -69,7 +69,7 @@
 pub struct CellTable {
     layout: CellLayout,
     generation: u64,
-    membership: u64,
+    membership_version: u64,
     next_list_at: Moment,
     cells: BTreeMap<String, CellState>,
     store_indexes: BTreeMap<String, StoreIndex>,
@@ -85,7 +85,7 @@
         Self {
             layout: CellLayout::default(),
             generation: 0,
-            membership: 0,
+            membership_version: 0,
             next_list_at: Moment(0),
             cells: BTreeMap::new(),
             store_indexes: BTreeMap::new(),
@@ -158,14 +158,16 @@
 
     /// Opens the cells that this VM is now home of and drops the others.
     fn update_roles(&mut self, context: &mut Context<'_>) {
-        if self.generation == context.world.generation && self.membership == context.world.membership {
+        if self.generation == context.world.generation
+            && self.membership_version == context.world.membership_version
+        {
             return;
         }
         if self.generation != context.world.generation {
             self.layout = CellLayout::new(&context.world.catalogue);
         }
         self.generation = context.world.generation;
-        self.membership = context.world.membership;
+        self.membership_version = context.world.membership_version;
         let names: Vec<String> = self.layout.cells().map(str::to_owned).collect();
         for name in names {
             if is_home(context.world, &name, context.now) {
@@ -203,7 +205,8 @@
         let is_dead = |vm| {
             let row = &world.vms[vm];
             let is_local = row.data_centre == world.data_centre;
-            world.vm_names.name(vm) != world.me && if is_local { now >= row.heartbeat_deadline } else { !row.listed }
+            world.vm_names.name(vm) != world.own_name
+                && if is_local { now >= row.heartbeat_deadline } else { !row.listed }
         };
         for cell in self.cells.values_mut() {
             let orphaned: Vec<RequestKey> =
@@ -215,7 +218,7 @@
         }
     }
 
-    fn place_request(&mut self, context: &mut Context<'_>, from: &str, request: &Ask) {
+    fn place_request(&mut self, context: &mut Context<'_>, from: &str, request: &EndpointRequest) {
         // A request may arrive before the tick that notices the role.
         if !self.cells.contains_key(&request.cell) && !self.layout.members(&request.cell).is_empty() {
             let cell = request.cell.clone();
@@ -338,7 +341,7 @@
         self.grant_waiting(context, name);
     }
 
-    fn first_token(&mut self, context: &mut Context<'_>, name: &str, key: RequestKey, usage: Usage) {
+    fn first_token(&mut self, context: &mut Context<'_>, name: &str, key: RequestKey, usage: PromptUsage) {
         let Some(cell) = self.cells.get_mut(name) else { return };
         let Some(running) = cell.first_token(key, usage, context.now, &mut self.links) else { return };
         let uses_stores = placement(&context.world.variant).is_some_and(|variant| variant.uses_stores);
@@ -530,7 +533,7 @@
 
 fn is_home(world: &World, cell: &str, now: Moment) -> bool {
     let (_, centre) = split_cell(cell);
-    centre == world.data_centre && world.holder(cell, centre, now) == Some(&world.me)
+    centre == world.data_centre && world.role_holder(cell, centre, now) == Some(&world.own_name)
 }
 
 fn send_grant(context: &mut Context<'_>, granted: &GrantedRequest) {
@@ -544,7 +547,13 @@
     context.send(&to, Message::Grant(grant));
 }
 
-fn refuse_request(context: &mut Context<'_>, to: &str, request: &Ask, reason: RefusalKind, min_millis: u64) {
+fn refuse_request(
+    context: &mut Context<'_>,
+    to: &str,
+    request: &EndpointRequest,
+    reason: RefusalKind,
+    min_millis: u64,
+) {
     let base_millis = min_millis.clamp(MIN_RETRY_DELAY_MILLIS, MAX_RETRY_DELAY_MILLIS);
     let retry_after_millis = jittered_retry_delay(to, request.request, base_millis);
     context.send(to, Message::Refusal { request: request.request, reason, retry_after_millis });
@@ -554,7 +563,7 @@
     let stores = world.catalogue.declarations.endpoints.values();
     let usable = stores.filter(|endpoint| {
         let row = world.endpoint_names.find(&endpoint.name).map(|index| &world.endpoints[index]);
-        endpoint.kind == EndpointKind::Store && row.is_some_and(|row| row.takes_work(now))
+        endpoint.kind == EndpointKind::Store && row.is_some_and(|row| row.accepts_work(now))
     });
     usable.map(|endpoint| endpoint.name.clone()).collect()
 }
--- a/crates/policy/src/cell_state.rs
+++ b/crates/policy/src/cell_state.rs
@@ -11,7 +11,9 @@
 };
 use crate::store_index::StoreIndex;
 use spanfold_entity::Moment;
-use spanfold_kernel::{AccountIndex, Ask, EndpointIndex, Import, InFlightRow, Usage, VmIndex, World};
+use spanfold_kernel::{
+    AccountIndex, EndpointIndex, EndpointRequest, Import, InFlightRow, PromptUsage, VmIndex, World,
+};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Tokens of one block: 4,096 bytes of prompt at about four bytes a token.
@@ -50,7 +52,7 @@
 pub(crate) struct WaitingRequest {
     pub key: RequestKey,
     pub account: AccountIndex,
-    pub request: Ask,
+    pub request: EndpointRequest,
     /// Tokens that had to be computed when the request arrived.
     pub missing_tokens: f64,
     pub deadline: Moment,
@@ -260,7 +262,7 @@
         world: &World,
         now: Moment,
         variant: &PlacementEntry,
-        request: &Ask,
+        request: &EndpointRequest,
         stored_run: Option<StoredRun>,
         over_share: bool,
     ) -> Option<(usize, PlacementDecision)> {
@@ -298,7 +300,7 @@
     }
 
     /// Returns the cost charged for a placement: tokens computed and tokens that may be generated.
-    fn cost(&self, request: &Ask, load: usize, decision: &PlacementDecision) -> f64 {
+    fn cost(&self, request: &EndpointRequest, load: usize, decision: &PlacementDecision) -> f64 {
         let computed =
             decision.prefill_micros as f64 / self.loads[load].token_cost.micros.max(f64::MIN_POSITIVE);
         computed + GENERATED_TOKEN_COST * f64::from(request.max_tokens)
@@ -374,7 +376,7 @@
     pub(crate) fn first_token(
         &mut self,
         key: RequestKey,
-        usage: Usage,
+        usage: PromptUsage,
         now: Moment,
         links: &mut HashMap<String, StoreLink>,
     ) -> Option<RunningRequest> {
@@ -483,7 +485,7 @@
         &self,
         world: &World,
         now: Moment,
-        request: &Ask,
+        request: &EndpointRequest,
         store_index: &StoreIndex,
     ) -> bool {
         let usable: Vec<_> = self.loads.iter().filter(|load| world.may_get_work(load.index, now)).collect();
@@ -499,7 +501,7 @@
     }
 
     /// Returns the tokens of a prompt that no endpoint or store contains, by this home's records.
-    pub(crate) fn missing_tokens(&self, request: &Ask, store_index: &StoreIndex) -> f64 {
+    pub(crate) fn missing_tokens(&self, request: &EndpointRequest, store_index: &StoreIndex) -> f64 {
         let is_awaited =
             |key: &u64| self.queue.iter().any(|waiting| waiting.request.keys.last() == Some(key));
         let is_available = |key: &&u64| {
@@ -551,7 +553,7 @@
         return None;
     }
     let usable = |store: &str| {
-        world.endpoint_names.find(store).is_some_and(|index| world.endpoints[index].takes_work(now))
+        world.endpoint_names.find(store).is_some_and(|index| world.endpoints[index].accepts_work(now))
     };
     let (store, blocks) = store_index.longest_run(keys, usable)?;
     let link = links.get(&store).cloned().unwrap_or_default();
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -183,7 +183,7 @@
     /// Applies the first verdict on an attempt; later ones match no pending claim.
     ///
     /// Only the requester releases a claim, and only once it has answered that the attempt did not run:
-    /// a home cannot tell whether another VM bypassed it and claimed the key with the same nonce.
+    /// a home cannot determine whether another VM bypassed it and claimed the key with the same nonce.
     fn apply_verdict(&mut self, context: &mut Context<'_>, request: u64, verdict: &ClaimVerdict) {
         let Some(claim) = self.remote_claims.remove(&request) else { return };
         let late = *verdict == ClaimVerdict::Claimed && context.now >= claim.ticket.deadline;
@@ -290,8 +290,8 @@
             }
             let (shard, mut ticket) = (claim.shard, claim.ticket.clone());
             ticket.deadline = Moment(ticket.deadline.micros_since(context.now));
-            let me = context.world.me.clone();
-            self.decide_claim(context, shard, &me, &ticket);
+            let own_name = context.world.own_name.clone();
+            self.decide_claim(context, shard, &own_name, &ticket);
         }
         let late: Vec<u64> = self
             .remote_claims
@@ -407,7 +407,7 @@
 fn home_of(context: &Context<'_>, shard: u32) -> String {
     let role = format!("claim/{shard}");
     let home = context.world.global_role_holder(&role, context.now);
-    home.unwrap_or(&context.world.me).to_owned()
+    home.unwrap_or(&context.world.own_name).to_owned()
 }
 
 fn reply(context: &mut Context<'_>, to: &str, request: u64, verdict: ClaimVerdict) {
--- a/crates/policy/src/configuration.rs
+++ b/crates/policy/src/configuration.rs
@@ -1,7 +1,7 @@
 //! Tracks the configuration in force and distributes newer ones.
 //!
 //! Invariant: a VM applies only a generation higher than the one in force. One VM of a data centre
-//! watches the head record. The other VMs learn of the generation by heartbeats and pull what they lack
+//! watches the head record. The other VMs receive its generation by heartbeats and pull what they lack
 //! from the sender, so that the number of platform calls grows with data centres, not with VMs. A
 //! platform that returns an older head than the one in force has lost data; the newer head is written
 //! back to it.
--- a/crates/policy/src/entry.rs
+++ b/crates/policy/src/entry.rs
@@ -10,8 +10,8 @@
 use crate::placement::placement;
 use spanfold_entity::Moment;
 use spanfold_kernel::{
-    Arrival, Ask, Context, Effect, Event, Grant, InFlightRow, Message, Outcome, RefusalKind, World,
-    register_plugin, rendezvous, spread,
+    Arrival, Context, Effect, EndpointRequest, Event, Grant, InFlightRow, Message, Outcome, RefusalKind,
+    World, hash_pair, register_plugin, rendezvous,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,14 +45,14 @@
 pub struct RequestTracker {
     layout: CellLayout,
     generation: u64,
-    membership: u64,
+    membership_version: u64,
     next_reconcile_at: Moment,
     open: BTreeMap<u64, OpenRequest>,
     reported_cells: BTreeSet<String>,
     /// Homes in other data centres that did not answer, and until when they are skipped.
     unreachable_homes: BTreeMap<String, Moment>,
     /// Number of decisions made locally because a home did not answer.
-    pub bypassed: u64,
+    pub bypassed_count: u64,
 }
 
 impl RequestTracker {
@@ -60,12 +60,12 @@
         Self {
             layout: CellLayout::default(),
             generation: 0,
-            membership: 0,
+            membership_version: 0,
             next_reconcile_at: Moment(0),
             open: BTreeMap::new(),
             reported_cells: BTreeSet::new(),
             unreachable_homes: BTreeMap::new(),
-            bypassed: 0,
+            bypassed_count: 0,
         }
     }
 
@@ -146,7 +146,8 @@
     fn query_home(&mut self, context: &mut Context<'_>, request_id: u64) {
         let Some(request) = self.open.get_mut(&request_id) else { return };
         let (_, centre) = split_cell(&request.cell);
-        let Some(home) = context.world.holder(&request.cell, centre, context.now).map(str::to_owned) else {
+        let Some(home) = context.world.role_holder(&request.cell, centre, context.now).map(str::to_owned)
+        else {
             self.bypass(context, request_id);
             return;
         };
@@ -160,7 +161,7 @@
         request.acknowledged = false;
         request.next_check_at = context.now.after_millis(HOME_ANSWER_TIMEOUT_MILLIS);
         let arrival = &request.arrival;
-        let home_request = Ask {
+        let home_request = EndpointRequest {
             request: request_id,
             cell: request.cell.clone(),
             account: arrival.account.clone(),
@@ -199,7 +200,7 @@
             self.try_next_cell(context, request_id, RefusalKind::NoEndpoint, 0);
             return;
         };
-        self.bypassed += 1;
+        self.bypassed_count += 1;
         request.endpoint = Some(endpoint.to_owned());
         let effect = Effect::Dispatch {
             request: request_id,
@@ -271,8 +272,8 @@
     }
 
     fn tick(&mut self, context: &mut Context<'_>) {
-        if self.membership != context.world.membership {
-            self.membership = context.world.membership;
+        if self.membership_version != context.world.membership_version {
+            self.membership_version = context.world.membership_version;
             self.update_homes(context);
         }
         if context.now >= self.next_reconcile_at {
@@ -299,7 +300,7 @@
         let mut changed_homes = BTreeMap::new();
         for request in self.open.values_mut() {
             let (_, centre) = split_cell(&request.cell);
-            let home = context.world.holder(&request.cell, centre, context.now).unwrap_or_default();
+            let home = context.world.role_holder(&request.cell, centre, context.now).unwrap_or_default();
             if request.home != home && !home.is_empty() {
                 home.clone_into(&mut request.home);
                 changed_homes.insert(request.cell.clone(), home.to_owned());
@@ -344,7 +345,7 @@
             None => {
                 for cell in std::mem::take(&mut self.reported_cells) {
                     let (_, centre) = split_cell(&cell);
-                    if let Some(home) = context.world.holder(&cell, centre, context.now) {
+                    if let Some(home) = context.world.role_holder(&cell, centre, context.now) {
                         rows.entry((cell.clone(), home.to_owned())).or_default();
                     }
                 }
@@ -393,7 +394,7 @@
 fn prompt_group(arrival: &Arrival) -> u64 {
     // A prompt without a whole block has no cached state to return to: it is spread over the cells.
     arrival.keys.first().map_or_else(
-        || group_of(spread(&arrival.account, &arrival.request.to_string())),
+        || group_of(hash_pair(&arrival.account, &arrival.request.to_string())),
         |key| group_of(*key),
     )
 }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -63,13 +63,13 @@
             let role = self.layout.cell_of(name).unwrap_or(name);
             let centre =
                 if self.layout.cell_of(name).is_some() { &row.data_centre } else { &world.data_centre };
-            if world.holder(role, centre, context.now) == Some(&world.me) {
-                due_probes.push((index, name.to_owned(), row.takes_work(context.now)));
+            if world.role_holder(role, centre, context.now) == Some(&world.own_name) {
+                due_probes.push((index, name.to_owned(), row.accepts_work(context.now)));
             }
         }
-        for (index, endpoint, takes_work) in due_probes {
+        for (index, endpoint, accepts_work) in due_probes {
             let interval_millis =
-                if takes_work { PROBE_INTERVAL_MILLIS } else { RECOVERY_PROBE_INTERVAL_MILLIS };
+                if accepts_work { PROBE_INTERVAL_MILLIS } else { RECOVERY_PROBE_INTERVAL_MILLIS };
             self.next_probe_at.insert(index, context.now.after_millis(interval_millis));
             context.emit(Effect::Probe { endpoint });
         }
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -6,7 +6,7 @@
 
 use spanfold_entity::{MICROS_PER_SECOND, Moment};
 use spanfold_kernel::{
-    AccountIndex, Arrival, Context, Effect, Event, Outcome, RefusalKind, World, register_plugin, spread,
+    AccountIndex, Arrival, Context, Effect, Event, Outcome, RefusalKind, World, hash_pair, register_plugin,
 };
 use std::collections::HashMap;
 
@@ -108,13 +108,13 @@
 
 /// Refuses `request` with a retry delay, jittered so that callers do not return all at once.
 pub(crate) fn refuse(context: &mut Context<'_>, request: u64, reason: RefusalKind, min_millis: u64) {
-    let retry_after_millis = jittered_retry_delay(&context.world.me, request, min_millis);
+    let retry_after_millis = jittered_retry_delay(&context.world.own_name, request, min_millis);
     context.emit(Effect::Refuse { request, reason, retry_after_millis });
 }
 
 /// Returns a delay between one and two times `min_millis`, the same for the same request.
 pub(crate) fn jittered_retry_delay(vm: &str, request: u64, min_millis: u64) -> u64 {
-    min_millis + spread(vm, &request.to_string()) % min_millis.max(1)
+    min_millis + hash_pair(vm, &request.to_string()) % min_millis.max(1)
 }
 
 register_plugin!("limits", 35, QuotaLimiter);
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -7,7 +7,7 @@
 
 use spanfold_entity::Moment;
 use spanfold_kernel::{
-    Beat, Context, EndpointRow, Event, ListedVm, Message, VmRole, VmState, World, register_plugin,
+    Context, EndpointRow, Event, ListedVm, Message, VmHeartbeat, VmRole, VmState, World, register_plugin,
 };
 
 /// Interval between heartbeats.
@@ -67,13 +67,13 @@
         if live_vms != self.live_vms {
             context.log("membership.changed", live_vms.join(" "));
             self.live_vms = live_vms;
-            context.world.membership += 1;
+            context.world.membership_version += 1;
         }
     }
 
     fn send_heartbeats(&mut self, context: &mut Context<'_>) {
         self.next_heartbeat_at = context.now.after_millis(HEARTBEAT_INTERVAL_MILLIS);
-        let heartbeat = Beat {
+        let heartbeat = VmHeartbeat {
             incarnation: context.world.incarnation,
             leaving: context.world.stopping,
             generation: context.world.generation,
@@ -93,14 +93,16 @@
 /// Whether this VM acts for its data centre: towards other data centres, and for the lease on orders.
 pub(crate) fn is_gateway(context: &Context<'_>) -> bool {
     let world = &*context.world;
-    !world.stopping && world.holder(GATEWAY_ROLE, &world.data_centre, context.now) == Some(&world.me)
+    !world.stopping
+        && world.role_holder(GATEWAY_ROLE, &world.data_centre, context.now) == Some(&world.own_name)
 }
 
 /// Returns the endpoints that this VM's own probes and failures found unhealthy.
 ///
 /// All other signs reach each VM without a heartbeat.
 fn unhealthy_endpoints(world: &World, now: Moment) -> Vec<String> {
-    let is_unhealthy = |row: &EndpointRow| row.declared && (row.reported_departing || now < row.ejected_until);
+    let is_unhealthy =
+        |row: &EndpointRow| row.declared && (row.reported_departing || now < row.ejected_until);
     let rows = world.endpoints.iter().filter(|(_, row)| is_unhealthy(row));
     rows.map(|(index, _)| world.endpoint_names.name(index).to_owned()).collect()
 }
@@ -109,12 +111,12 @@
     let own_centre = &world.data_centre;
     let local_vms = world.vms.iter().filter(|(index, row)| {
         row.data_centre == *own_centre
-            && world.vm_names.name(*index) != world.me
+            && world.vm_names.name(*index) != world.own_name
             && (row.listed || now < row.heartbeat_deadline)
     });
     let mut targets: Vec<String> =
         local_vms.map(|(index, _)| world.vm_names.name(index).to_owned()).collect();
-    if !world.stopping && world.holder(GATEWAY_ROLE, own_centre, now) == Some(&world.me) {
+    if !world.stopping && world.role_holder(GATEWAY_ROLE, own_centre, now) == Some(&world.own_name) {
         let mut other_centres: Vec<&str> = world
             .vms
             .iter()
@@ -126,7 +128,7 @@
         targets.extend(
             other_centres
                 .iter()
-                .filter_map(|centre| world.holder(GATEWAY_ROLE, centre, now))
+                .filter_map(|centre| world.role_holder(GATEWAY_ROLE, centre, now))
                 .map(str::to_owned),
         );
     }
@@ -147,7 +149,7 @@
         row.listed = true;
         // The list lags: it may add a sign of departure, and withdraws only its own.
         if vm.state == VmState::Leaving {
-            row.leaving = true;
+            row.departing = true;
         } else if !was_recorded {
             // A VM counts as live when first listed, so that roles do not wait for a heartbeat.
             row.heartbeat_deadline = context.now.after_millis(SILENCE_TIMEOUT_MILLIS);
@@ -155,7 +157,7 @@
     }
 }
 
-fn apply_heartbeat(context: &mut Context<'_>, from: &str, heartbeat: &Beat) {
+fn apply_heartbeat(context: &mut Context<'_>, from: &str, heartbeat: &VmHeartbeat) {
     let own_centre = context.world.data_centre.clone();
     let index = context.world.vm_names.intern(from);
     let row = context.world.vms.get_or_insert_default(index);
@@ -165,13 +167,13 @@
     }
     row.heartbeat_deadline = context.now.after_millis(SILENCE_TIMEOUT_MILLIS);
     row.generation = heartbeat.generation;
-    row.unwell.clone_from(&heartbeat.unwell);
+    row.unavailable_endpoints.clone_from(&heartbeat.unwell);
     if !heartbeat.orders_holder.is_empty() {
         context.world.orders_holder.clone_from(&heartbeat.orders_holder);
     }
     let row = &mut context.world.vms[index];
     if row.incarnation != heartbeat.incarnation || heartbeat.leaving {
-        row.leaving = heartbeat.leaving;
+        row.departing = heartbeat.leaving;
     }
     row.incarnation = heartbeat.incarnation;
 }
--- a/crates/policy/src/orders.rs
+++ b/crates/policy/src/orders.rs
@@ -118,8 +118,8 @@
             self.unchanged_since = context.now;
             context.world.orders_holder.clone_from(&self.record.holder);
         }
-        let is_own =
-            self.record.holder == context.world.me && self.record.incarnation == context.world.incarnation;
+        let is_own = self.record.holder == context.world.own_name
+            && self.record.incarnation == context.world.incarnation;
         let lease_expires_at =
             self.unchanged_since.after_millis(LEASE_LIFETIME_MILLIS + ORDER_LIFETIME_MILLIS);
         let is_free = revision == 0 || context.now >= lease_expires_at;
@@ -127,7 +127,7 @@
             return;
         }
         let record = LeaseRecord {
-            holder: context.world.me.clone(),
+            holder: context.world.own_name.clone(),
             incarnation: context.world.incarnation,
             fencing: self.record.fencing + u64::from(!is_own),
             renewals: if is_own { self.record.renewals + 1 } else { 0 },
--- a/crates/policy/tests/configuration.rs
+++ b/crates/policy/tests/configuration.rs
@@ -4,7 +4,7 @@
 use spanfold_policy as _;
 
 use spanfold_entity::Moment;
-use spanfold_kernel::{Beat, Effect, Event, Kernel, ListedVm, Message, VmRole, VmState, World};
+use spanfold_kernel::{Effect, Event, Kernel, ListedVm, Message, VmHeartbeat, VmRole, VmState, World};
 
 /// The kernel of `vm-a3`, with the peers `vm-a1` and `vm-a2`.
 struct TestVm {
@@ -15,7 +15,7 @@
 impl TestVm {
     fn new() -> Self {
         let world = World {
-            me: "vm-a3".into(),
+            own_name: "vm-a3".into(),
             data_centre: "dc-a".into(),
             incarnation: 1,
             variant: "spanfold".into(),
@@ -44,7 +44,7 @@
     }
 
     fn receive_heartbeat(&mut self, from: &str, generation: u64) -> Vec<Effect> {
-        let heartbeat = Beat {
+        let heartbeat = VmHeartbeat {
             incarnation: 5,
             leaving: false,
             generation,
--- a/crates/policy/tests/fake/mod.rs
+++ b/crates/policy/tests/fake/mod.rs
@@ -7,7 +7,7 @@
 use spanfold_entity::Moment;
 use spanfold_kernel::{
     Arrival, ClaimTicket, ClaimVerdict, CreateReply, Effect, Event, Kernel, ListedVm, LogEntry, Outcome,
-    Usage, VmRole, VmState, World,
+    PromptUsage, VmRole, VmState, World,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -93,7 +93,7 @@
 fn new_kernel(vm: usize, incarnation: u64) -> Kernel {
     let (name, centre) = VMS[vm];
     let mut world = World {
-        me: name.into(),
+        own_name: name.into(),
         data_centre: centre.into(),
         incarnation,
         variant: "spanfold".into(),
@@ -101,8 +101,8 @@
         flush_millis: 40,
         ..World::default()
     };
-    let me = world.vm_names.intern(name);
-    world.vms.get_or_insert_default(me).data_centre = centre.into();
+    let own_index = world.vm_names.intern(name);
+    world.vms.get_or_insert_default(own_index).data_centre = centre.into();
     Kernel::new(world)
 }
 
@@ -428,7 +428,7 @@
             return Err(format!("{endpoint} became unready {} ms ago and got new work", self.now - since));
         }
         self.record_end(request)?;
-        let usage = Usage { computed: 3_100, compute_micros: 31_000, ..Usage::default() };
+        let usage = PromptUsage { computed: 3_100, compute_micros: 31_000, ..PromptUsage::default() };
         self.schedule_event(vm, 31, Event::Progress { request, outcome: Outcome::FirstToken(usage) });
         self.schedule_event(vm, 90, Event::Progress { request, outcome: Outcome::Complete(50) });
         Ok(())
--- a/crates/spanfoldd/src/caller/completion.rs
+++ b/crates/spanfoldd/src/caller/completion.rs
@@ -18,7 +18,7 @@
 use serde_json::{Value, json};
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 use spanfold_gateway::KindLabel;
-use spanfold_kernel::{Arrival, FailureKind, Import, Outcome, RanState, Usage};
+use spanfold_kernel::{Arrival, FailureKind, Import, Outcome, PromptUsage, RanState};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -35,7 +35,7 @@
 pub(crate) struct StartedRun {
     pub location: StreamLocation,
     pub reader: FrameReader,
-    pub usage: Usage,
+    pub usage: PromptUsage,
 }
 
 /// Answers a completion request.
@@ -81,7 +81,7 @@
     shared.burn.record(&shared.catalogue().1, account, sample, shared.now());
 }
 
-fn record_usage(shared: &SharedState, usage: Usage) {
+fn record_usage(shared: &SharedState, usage: PromptUsage) {
     for (kind, tokens) in
         [("cached", usage.cached), ("imported", usage.imported), ("computed", usage.computed)]
     {
@@ -252,8 +252,8 @@
     }
 }
 
-fn read_usage(headers: &HeaderMap) -> Usage {
-    let mut usage = Usage::default();
+fn read_usage(headers: &HeaderMap) -> PromptUsage {
+    let mut usage = PromptUsage::default();
     let text = headers.get("kv-usage").and_then(|value| value.to_str().ok()).unwrap_or_default();
     for (name, value) in text.split(',').filter_map(|pair| pair.trim().split_once('=')) {
         let value: u64 = value.parse().unwrap_or(0);
@@ -286,15 +286,19 @@
     let (sender, events) = mpsc::channel(MAX_QUEUED_EVENTS);
     let forwarder = RunForwarder::resumed(shared, location, reader, offset + 1);
     tokio::spawn(forwarder.run(sender));
-    Ok(stream_response(events, token, Usage::default()))
+    Ok(stream_response(events, token, PromptUsage::default()))
 }
 
-fn usage_header(usage: Usage) -> String {
+fn usage_header(usage: PromptUsage) -> String {
     format!("cached={},imported={},computed={}", usage.cached, usage.imported, usage.computed)
 }
 
 /// Returns an answer of server-sent events, each with an id from which any VM can resume.
-fn stream_response(events: mpsc::Receiver<RunEvent>, token: String, usage: Usage) -> Response<CallerBody> {
+fn stream_response(
+    events: mpsc::Receiver<RunEvent>,
+    token: String,
+    usage: PromptUsage,
+) -> Response<CallerBody> {
     let stream = EventStream { events, token: Arc::from(token) };
     Response::builder()
         .header("content-type", "text/event-stream")
@@ -356,7 +360,7 @@
 async fn collect_answer(
     call: &CompletionCall,
     mut events: mpsc::Receiver<RunEvent>,
-    usage: Usage,
+    usage: PromptUsage,
 ) -> Result<Response<CallerBody>, FinalError> {
     let (mut text, mut tokens, mut done) = (String::new(), 0_u32, false);
     while let Some(event) = events.recv().await {
--- a/crates/spanfoldd/src/caller/final_error.rs
+++ b/crates/spanfoldd/src/caller/final_error.rs
@@ -62,7 +62,7 @@
             "message": self.message,
             "type": if self.status < 500 { "invalid_request_error" } else { "server_error" },
             "code": self.code,
-            "ran": self.ran.word(),
+            "ran": self.ran.label(),
             "retry_after_ms": self.retry_after_millis,
         } })
         .to_string()
@@ -75,7 +75,7 @@
         let mut response = text_response(self.status, self.body());
         let headers = response.headers_mut();
         headers.insert("content-type", HeaderValue::from_static("application/json"));
-        headers.insert("spanfold-ran", HeaderValue::from_static(self.ran.word()));
+        headers.insert("spanfold-ran", HeaderValue::from_static(self.ran.label()));
         if let Some(millis) = self.retry_after_millis {
             // The header has whole seconds; the body states milliseconds.
             headers.insert("retry-after", HeaderValue::from(millis.div_ceil(1_000)));
--- a/crates/spanfoldd/src/caller/service.rs
+++ b/crates/spanfoldd/src/caller/service.rs
@@ -21,7 +21,9 @@
 use spanfold_declare::EndpointKind;
 use spanfold_entity::Moment;
 use spanfold_gateway::KindLabel;
-use spanfold_kernel::{Arrival, ClaimTicket, ClaimVerdict, Event, FailureKind, Outcome, RanState, Usage};
+use spanfold_kernel::{
+    Arrival, ClaimTicket, ClaimVerdict, Event, FailureKind, Outcome, PromptUsage, RanState,
+};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -361,7 +363,7 @@
     let mut sender = EndpointClient::open(address).await?;
     // Reported once the connection is open, so that a slow answer does not block the endpoint for
     // other requests.
-    gate.report_progress(Outcome::FirstToken(Usage::default()));
+    gate.report_progress(Outcome::FirstToken(PromptUsage::default()));
     let outgoing = match std::mem::replace(body, CallBody::Consumed) {
         CallBody::Buffered(bytes) => {
             *body = CallBody::Buffered(bytes.clone());
--- a/crates/spanfoldd/src/control.rs
+++ b/crates/spanfoldd/src/control.rs
@@ -72,7 +72,7 @@
                     "name": world.vm_names.name(index),
                     "data_centre": row.data_centre,
                     "live": world.is_live(index, now),
-                    "generation": if world.vm_names.name(index) == world.me { world.generation } else { row.generation },
+                    "generation": if world.vm_names.name(index) == world.own_name { world.generation } else { row.generation },
                 })
             })
             .collect();
@@ -81,7 +81,7 @@
             .iter()
             .filter(|(_, row)| row.declared && row.data_centre == world.data_centre)
             .map(|(index, row)| {
-                serde_json::json!({ "name": world.endpoint_names.name(index), "takes_work": row.takes_work(now) })
+                serde_json::json!({ "name": world.endpoint_names.name(index), "takes_work": row.accepts_work(now) })
             })
             .collect();
         let cells: Vec<_> = self
@@ -93,7 +93,7 @@
             .map(|(cell, queued, running)| serde_json::json!({ "cell": cell, "queued": queued, "running": running }))
             .collect();
         let report = serde_json::json!({
-            "name": world.me,
+            "name": world.own_name,
             "data_centre": world.data_centre,
             "generation": world.generation,
             "stopping": world.stopping,
@@ -104,7 +104,7 @@
             "held_pieces": self.kernel.plugin::<CellTable>("cell").map_or(0, CellTable::cached_block_count),
             "claims": self.kernel.plugin::<ClaimTable>("claims").map_or(0, ClaimTable::row_count),
             "open_requests": self.kernel.plugin::<RequestTracker>("entry").map_or(0, RequestTracker::open_count),
-            "bypassed": self.kernel.plugin::<RequestTracker>("entry").map_or(0, |tracker| tracker.bypassed),
+            "bypassed": self.kernel.plugin::<RequestTracker>("entry").map_or(0, |tracker| tracker.bypassed_count),
             "configuration_bytes":
                 self.kernel.plugin::<ConfigurationStore>("configuration").map_or(0, ConfigurationStore::chunk_bytes),
         });
--- a/crates/spanfoldd/src/daemon.rs
+++ b/crates/spanfoldd/src/daemon.rs
@@ -78,7 +78,7 @@
         let peers = node.address().unwrap_or(settings.peers);
         let origin = Instant::now();
         let world = World {
-            me: settings.name.clone(),
+            own_name: settings.name.clone(),
             data_centre: settings.data_centre.clone(),
             incarnation,
             variant: settings.variant.clone(),
--- a/crates/spanfoldd/tests/promises/leaving.rs
+++ b/crates/spanfoldd/tests/promises/leaving.rs
@@ -5,7 +5,7 @@
 use spanfold_standin::{Caller, Deployment, EngineRates, expected_answer};
 use std::time::Duration;
 
-async fn takes_work(deployment: &Deployment, endpoint: &str) -> bool {
+async fn accepts_work(deployment: &Deployment, endpoint: &str) -> bool {
     // The home of the endpoint's cell is the VM that places requests at it.
     for vm in ["vm-a1", "vm-a2"] {
         let status = deployment.status(vm).await;
@@ -24,7 +24,7 @@
 
 /// Asserts that engine-a1 gets no new work once its departure is recorded, while other engines serve.
 async fn assert_no_new_work(deployment: &Deployment) {
-    eventually("the departure is recorded", || async { !takes_work(deployment, "engine-a1").await }).await;
+    eventually("the departure is recorded", || async { !accepts_work(deployment, "engine-a1").await }).await;
     let before = deployment.engines["engine-a1"].started().len();
     for number in 0..12 {
         let prompt = format!("after the departure {number}");
@@ -80,7 +80,7 @@
     deployment.engines["engine-a1"].faults().announce_departure(true);
     assert_no_new_work(&deployment).await;
     deployment.engines["engine-a1"].faults().announce_departure(false);
-    eventually("engine-a1 takes work", || async { takes_work(&deployment, "engine-a1").await }).await;
+    eventually("engine-a1 takes work", || async { accepts_work(&deployment, "engine-a1").await }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/spanfoldd/tests/promises/support.rs
+++ b/crates/spanfoldd/tests/promises/support.rs
@@ -1,5 +1,5 @@
 //! Helpers shared by the process tests.
-use spanfold_standin::{Deployment, DeploymentPlan, EnginePlan, EngineRates, BLOCK_BYTES};
+use spanfold_standin::{BLOCK_BYTES, Deployment, DeploymentPlan, EnginePlan, EngineRates};
 use std::path::PathBuf;
 use std::time::Duration;
 
--- a/crates/standin/examples/bench.rs
+++ b/crates/standin/examples/bench.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 use spanfold_declare::{Document, Section};
-use spanfold_standin::{Caller, Deployment, DeploymentPlan, EnginePlan, EngineRates, BLOCK_BYTES, StorePlan};
+use spanfold_standin::{BLOCK_BYTES, Caller, Deployment, DeploymentPlan, EnginePlan, EngineRates, StorePlan};
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -10,7 +10,7 @@
 };
 use crate::priority_gate::PriorityGate;
 use crate::server::{StandinBody, query_number, read_body, reply, reply_json, serve};
-use crate::{FaultSwitch, BLOCK_BYTES};
+use crate::{BLOCK_BYTES, FaultSwitch};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, StreamBody};
 use hyper::body::{Frame, Incoming};
