--- a/crates/keyvalue/src/head.rs
+++ b/crates/keyvalue/src/head.rs
@@ -54,7 +54,7 @@
 pub enum AcceptError {
     /// Another change was accepted first.
     #[error("lost the race: generation {} by {} is accepted, {expected} was expected", .head.generation, .head.author)]
-    Lost {
+    Conflict {
         /// The current head.
         head: ConfigurationHead,
         /// The generation that was expected.
@@ -82,7 +82,7 @@
 ) -> Result<ConfigurationHead, AcceptError> {
     let (current_head, revision) = ConfigurationHead::read(client).await?;
     if current_head.generation != expected {
-        return Err(AcceptError::Lost { head: current_head, expected });
+        return Err(AcceptError::Conflict { head: current_head, expected });
     }
     for (digest, text) in chunks {
         if !current_head.digests.contains(digest) {
@@ -97,13 +97,13 @@
     };
     let text = serde_json::to_string(&head).unwrap_or_default();
     match client.compare_and_swap(HEAD_KEY, revision, &text).await {
-        Ok(SwapOutcome::Done) => Ok(head),
-        Ok(SwapOutcome::Lost(stored_value)) => {
+        Ok(SwapOutcome::Written) => Ok(head),
+        Ok(SwapOutcome::Conflict(stored_value)) => {
             let stored_head = stored_value.map(|value| parse_head(&value).0).unwrap_or_default();
             if stored_head == head {
                 Ok(head)
             } else {
-                Err(AcceptError::Lost { head: stored_head, expected })
+                Err(AcceptError::Conflict { head: stored_head, expected })
             }
         }
         Err(error) => {
@@ -111,7 +111,7 @@
             if stored_head == head {
                 Ok(head)
             } else {
-                Err(AcceptError::Lost { head: stored_head, expected })
+                Err(AcceptError::Conflict { head: stored_head, expected })
             }
         }
     }
--- a/crates/keyvalue/src/key_value.rs
+++ b/crates/keyvalue/src/key_value.rs
@@ -28,7 +28,7 @@
 
 impl CallCounts {
     /// Returns the label and the count of each kind.
-    pub fn read(&self) -> [(&'static str, u64); 3] {
+    pub fn by_kind(&self) -> [(&'static str, u64); 3] {
         let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         [("read", load(&self.reads)), ("write", load(&self.writes)), ("watch", load(&self.watches))]
     }
@@ -49,9 +49,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SwapOutcome {
     /// The value was written.
-    Done,
+    Written,
     /// The revision did not match: the current value, or none if the key does not exist.
-    Lost(Option<StoredValue>),
+    Conflict(Option<StoredValue>),
 }
 
 /// A client of the key-value service.
@@ -69,7 +69,7 @@
     /// ```
     /// use spanfold_keyvalue::KeyValueClient;
     /// let client = KeyValueClient::new("127.0.0.1:2379".parse().unwrap());
-    /// assert_eq!(client.counts().read()[0], ("read", 0));
+    /// assert_eq!(client.counts().by_kind()[0], ("read", 0));
     /// ```
     pub fn new(address: SocketAddr) -> Self {
         Self { client: json_client(), address, counts: Arc::default() }
@@ -139,10 +139,10 @@
         });
         let answer = call(&self.client, self.address, "/v3/kv/txn", Some(&body), CALL_TIMEOUT).await?;
         if answer["succeeded"].as_bool() == Some(true) {
-            return Ok(SwapOutcome::Done);
+            return Ok(SwapOutcome::Written);
         }
         let current_value = read_values(&answer["responses"][0]["response_range"]).pop();
-        Ok(SwapOutcome::Lost(current_value))
+        Ok(SwapOutcome::Conflict(current_value))
     }
 
     /// Waits until `key` changes after `revision`.
--- a/crates/spanfold/src/declare.rs
+++ b/crates/spanfold/src/declare.rs
@@ -184,7 +184,7 @@
 }
 
 fn accept_failure(error: &AcceptError) -> CommandOutcome {
-    let code = if matches!(error, AcceptError::Lost { .. }) { EXIT_CONFLICT } else { EXIT_UNREACHABLE };
+    let code = if matches!(error, AcceptError::Conflict { .. }) { EXIT_CONFLICT } else { EXIT_UNREACHABLE };
     CommandOutcome::failure(code, error.to_string())
 }
 
@@ -234,7 +234,7 @@
         }
         match accept(&client, &document, head.generation, author).await {
             Ok(head) => return CommandOutcome::success(format!("generation {} accepted", head.generation)),
-            Err(AcceptError::Lost { .. }) => {}
+            Err(AcceptError::Conflict { .. }) => {}
             Err(error) => return accept_failure(&error),
         }
     }
--- a/crates/spanfoldd/src/operators.rs
+++ b/crates/spanfoldd/src/operators.rs
@@ -38,7 +38,7 @@
 }
 
 fn refresh_gauges(shared: &SharedState) {
-    for (kind, count) in shared.key_value.counts().read() {
+    for (kind, count) in shared.key_value.counts().by_kind() {
         shared.metrics.platform_calls.get_or_create(&KindLabel::new(kind)).set(count as i64);
     }
     let (bytes, messages, _) = shared.peers.traffic();
--- a/crates/spanfoldd/src/platform_task.rs
+++ b/crates/spanfoldd/src/platform_task.rs
@@ -169,7 +169,7 @@
         };
         let text = serde_json::to_string(&head).unwrap_or_default();
         let outcome = shared.key_value.compare_and_swap(HEAD_KEY, revision, &text).await?;
-        Ok(outcome == SwapOutcome::Done)
+        Ok(outcome == SwapOutcome::Written)
     }
     .await;
     match result {
@@ -186,9 +186,9 @@
 
 pub(crate) async fn create_log(shared: &SharedState, shard: u32, sequence: u64, text: &str) {
     let reply = match shared.key_value.compare_and_swap(&log_key(shard, sequence), 0, text).await {
-        Ok(SwapOutcome::Done) => CreateReply::Created,
-        Ok(SwapOutcome::Lost(Some(current))) => CreateReply::Exists(current.text),
-        Ok(SwapOutcome::Lost(None)) => CreateReply::Unknown,
+        Ok(SwapOutcome::Written) => CreateReply::Created,
+        Ok(SwapOutcome::Conflict(Some(current))) => CreateReply::Exists(current.text),
+        Ok(SwapOutcome::Conflict(None)) => CreateReply::Unknown,
         Err(error) => {
             log::warn!(shard, sequence, error:% = error; "claims.unwritten");
             CreateReply::Unknown
@@ -239,8 +239,8 @@
 
 pub(crate) async fn write_lease(shared: &SharedState, revision: u64, text: String) {
     match shared.key_value.compare_and_swap(LEASE_KEY, revision, &text).await {
-        Ok(SwapOutcome::Done) => shared.send_event(Event::LeaseWritten { text }).await,
-        Ok(SwapOutcome::Lost(_)) => log::info!("lease.lost"),
+        Ok(SwapOutcome::Written) => shared.send_event(Event::LeaseWritten { text }).await,
+        Ok(SwapOutcome::Conflict(_)) => log::info!("lease.lost"),
         // If the write took effect, the next read shows the lease unchanged by other VMs, and it is renewed.
         Err(error) => log::warn!(error:% = error; "lease.unwritten"),
     }
--- a/crates/spanfoldd/tests/promises/configuration.rs
+++ b/crates/spanfoldd/tests/promises/configuration.rs
@@ -56,7 +56,7 @@
     let accepted_heads: Vec<_> = results.iter().flatten().collect();
     assert_eq!(accepted_heads.len(), 1);
     for result in &results {
-        if let Err(AcceptError::Lost { head, .. }) = result {
+        if let Err(AcceptError::Conflict { head, .. }) = result {
             assert_eq!(
                 head.author, accepted_heads[0].author,
                 "the error names the author of the accepted configuration"
