--- a/crates/declare/src/bundle.rs
+++ b/crates/declare/src/bundle.rs
@@ -37,10 +37,10 @@
     /// ```
     /// use spanfold_declare::{Bundle, Document};
     /// let document = Document::parse("a", "[pool p]\nkind = engine\n[pool q]\nkind = store\n").unwrap();
-    /// let bundle = Bundle::cut(&document);
+    /// let bundle = Bundle::split(&document);
     /// assert_eq!(bundle.join().unwrap().sections.len(), 2);
     /// ```
-    pub fn cut(document: &Document) -> Self {
+    pub fn split(document: &Document) -> Self {
         let mut buckets = vec![Vec::new(); BUCKET_COUNT];
         for section in &document.sections {
             buckets[bucket_of(&section.header())].push(section.to_string());
--- a/crates/declare/src/declaration.rs
+++ b/crates/declare/src/declaration.rs
@@ -180,9 +180,9 @@
     /// Pool names by model.
     pub pool_by_model: HashMap<String, String>,
     /// Endpoint names by pool, sorted.
-    pub members: BTreeMap<String, Vec<String>>,
+    pub endpoints_by_pool: BTreeMap<String, Vec<String>>,
     /// Share of each account that may use a pool, as a fraction of one; by pool and account.
-    pub weights: BTreeMap<String, HashMap<String, f64>>,
+    pub account_shares: BTreeMap<String, HashMap<String, f64>>,
 }
 
 impl Catalogue {
@@ -197,7 +197,7 @@
     ///     [share s]\naccounts = tier=gold\nresources =\npercent = 60\n";
     /// let document = Document::parse("a.ini", text).unwrap();
     /// let catalogue = Catalogue::new(Declarations::check(&document).unwrap());
-    /// assert_eq!(catalogue.weights["p"]["a"], 0.3);
+    /// assert_eq!(catalogue.account_shares["p"]["a"], 0.3);
     /// ```
     pub fn new(declarations: Declarations) -> Self {
         let mut catalogue = Self::default();
@@ -216,8 +216,8 @@
                 .filter(|endpoint| endpoint.kind == pool.kind && pool.selector.matches(&endpoint.labels))
                 .map(|endpoint| endpoint.name.clone())
                 .collect();
-            catalogue.members.insert(pool.name.clone(), members);
-            catalogue.weights.insert(pool.name.clone(), account_shares(&declarations, pool));
+            catalogue.endpoints_by_pool.insert(pool.name.clone(), members);
+            catalogue.account_shares.insert(pool.name.clone(), account_shares(&declarations, pool));
         }
         catalogue.declarations = declarations;
         catalogue
--- a/crates/policy/src/cell_state.rs
+++ b/crates/policy/src/cell_state.rs
@@ -254,7 +254,13 @@
     /// Returns the share of the pool that `account` was promised.
     pub(crate) fn weight(&self, world: &World, account: AccountIndex) -> f64 {
         let name = world.account_names.name(account);
-        world.catalogue.weights.get(&self.pool).and_then(|weights| weights.get(name)).copied().unwrap_or(0.0)
+        world
+            .catalogue
+            .account_shares
+            .get(&self.pool)
+            .and_then(|shares| shares.get(name))
+            .copied()
+            .unwrap_or(0.0)
     }
 
     fn place(
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -44,7 +44,7 @@
     /// ```
     pub fn new(catalogue: &Catalogue) -> Self {
         let mut layout = Self::default();
-        for (pool, members) in &catalogue.members {
+        for (pool, members) in &catalogue.endpoints_by_pool {
             if catalogue.declarations.pools[pool].kind == EndpointKind::Store {
                 continue;
             }
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -56,7 +56,8 @@
             return;
         }
         let catalogue = std::sync::Arc::clone(&context.world.catalogue);
-        let weight = catalogue.weights.get(&arrival.pool).and_then(|weights| weights.get(&arrival.account));
+        let weight =
+            catalogue.account_shares.get(&arrival.pool).and_then(|shares| shares.get(&arrival.account));
         let Some(account) =
             catalogue.declarations.accounts.get(&arrival.account).filter(|_| weight.is_some())
         else {
--- a/crates/policy/tests/fake/mod.rs
+++ b/crates/policy/tests/fake/mod.rs
@@ -87,7 +87,7 @@
         text += &format!("[endpoint {name}]\nkind = engine\naddress = 127.0.0.1:1\ndata_centre = {centre}\n");
     }
     text += &format!("[client-account extra-{extra}]\n");
-    Bundle::cut(&Document::parse("fake", &text).unwrap())
+    Bundle::split(&Document::parse("fake", &text).unwrap())
 }
 
 fn new_kernel(vm: usize, incarnation: u64) -> Kernel {
--- a/crates/spanfold/src/declare.rs
+++ b/crates/spanfold/src/declare.rs
@@ -178,7 +178,7 @@
     expected: u64,
     author: &str,
 ) -> Result<ConfigurationHead, AcceptError> {
-    let bundle = Bundle::cut(document);
+    let bundle = Bundle::split(document);
     let nonce = format!("{:032x}", rand::random::<u128>());
     accept_bundle(client, expected, &bundle.digests, &bundle.chunks, author, &nonce).await
 }
--- a/crates/spanfoldd/tests/promises/configuration.rs
+++ b/crates/spanfoldd/tests/promises/configuration.rs
@@ -39,7 +39,7 @@
         let (client, expected) = (client.clone(), head.generation);
         tasks.spawn(async move {
             let document = spanfold_declare::Document::parse("race", &text).unwrap();
-            let bundle = spanfold_declare::Bundle::cut(&document);
+            let bundle = spanfold_declare::Bundle::split(&document);
             let (author, nonce) = (format!("operator-{number}"), number.to_string());
             spanfold_keyvalue::accept_bundle(
                 &client,
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -251,7 +251,7 @@
     /// If the text does not parse, which is an error in the test.
     pub async fn apply(&self, text: &str) -> Result<u64, AcceptError> {
         let document = Document::parse("test", text).expect("a test's declarations parse");
-        let bundle = Bundle::cut(&document);
+        let bundle = Bundle::split(&document);
         let client = KeyValueClient::new(self.platform.key_value());
         let (head, _) = ConfigurationHead::read(&client).await?;
         let nonce = rand::random::<u64>().to_string();
