--- a/crates/spanfold/tests/command.rs
+++ b/crates/spanfold/tests/command.rs
@@ -66,7 +66,7 @@
     let text = format!("{}[client-account fresh]\nlabels = tier=new\n", deployment.declarations());
     std::fs::write(&file, text).unwrap();
     let platform = format!("--platform {}", deployment.platform.key_value());
-    let (vm, file) = (deployment.operators("vm-a1"), file.display());
+    let (vm, file) = (deployment.operator_address("vm-a1"), file.display());
     let (code, output) = run(split_arguments(&format!("diff {platform} {file}"))).await;
     assert_eq!(code, 1, "{output}");
     assert!(output.contains("+ [client-account fresh]"), "{output}");
@@ -91,7 +91,7 @@
     let (code, output) = run(split_arguments(&format!("label {platform} client-account nobody a=b"))).await;
     assert_eq!(code, 2, "{output}");
     let answer =
-        Caller::new("key-small").complete(deployment.callers("vm-a1"), "visa-7b", "hi", 2, &[]).await;
+        Caller::new("key-small").complete(deployment.caller_address("vm-a1"), "visa-7b", "hi", 2, &[]).await;
     assert_eq!(answer.unwrap().status, 200);
     let (code, output) = run(split_arguments(&format!("status {vm}"))).await;
     assert!(code == 0 && output.contains("vm-a1") && output.contains("cell assistants/dc-a/0"), "{output}");
@@ -114,7 +114,7 @@
     let caller = Caller::new("key-small");
     for number in 0..3 {
         let prompt = format!("question {number}");
-        caller.complete(deployment.callers("vm-a1"), "visa-7b", &prompt, 3, &[]).await.unwrap();
+        caller.complete(deployment.caller_address("vm-a1"), "visa-7b", &prompt, 3, &[]).await.unwrap();
     }
     deployment.stop_vm("vm-a1").await;
     // The last line may have been written only in part.
--- a/crates/spanfoldd/src/daemon.rs
+++ b/crates/spanfoldd/src/daemon.rs
@@ -51,9 +51,9 @@
 #[derive(Debug)]
 pub struct Daemon {
     shared: Arc<SharedState>,
-    callers: SocketAddr,
-    operators: SocketAddr,
-    peers: SocketAddr,
+    caller_address: SocketAddr,
+    operator_address: SocketAddr,
+    peer_address: SocketAddr,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
@@ -71,11 +71,12 @@
             PeerIdentity::read(&settings.name, &settings.certificate, &settings.key, &settings.authority)?;
         let caller_listener = listen(settings.callers).await?;
         let operator_listener = listen(settings.operators).await?;
-        let (callers, operators) = (local_address(&caller_listener), local_address(&operator_listener));
+        let (caller_address, operator_address) =
+            (local_address(&caller_listener), local_address(&operator_listener));
         let incarnation: u64 = rand::random::<u64>() | 1;
         let (inbox, received) = mpsc::channel(MAX_INBOX_MESSAGES);
         let node = PeerNode::listen(identity, settings.peers, incarnation, inbox)?;
-        let peers = node.address().unwrap_or(settings.peers);
+        let peer_address = node.address().unwrap_or(settings.peers);
         let origin = Instant::now();
         let world = World {
             own_name: settings.name.clone(),
@@ -103,23 +104,23 @@
             tokio::spawn(caller::serve_callers(Arc::clone(&shared), caller_listener)),
             tokio::spawn(caller::serve_operators(Arc::clone(&shared), operator_listener)),
         ];
-        log::info!(name = shared.settings.name.as_str(), callers:% = callers; "daemon.started");
-        Ok(Self { shared, callers, operators, peers, tasks })
+        log::info!(name = shared.settings.name.as_str(), callers:% = caller_address; "daemon.started");
+        Ok(Self { shared, caller_address, operator_address, peer_address, tasks })
     }
 
     /// Returns the address for callers.
-    pub const fn callers(&self) -> SocketAddr {
-        self.callers
+    pub const fn caller_address(&self) -> SocketAddr {
+        self.caller_address
     }
 
     /// Returns the address for operators.
-    pub const fn operators(&self) -> SocketAddr {
-        self.operators
+    pub const fn operator_address(&self) -> SocketAddr {
+        self.operator_address
     }
 
     /// Returns the address for peers.
-    pub const fn peers(&self) -> SocketAddr {
-        self.peers
+    pub const fn peer_address(&self) -> SocketAddr {
+        self.peer_address
     }
 
     /// Performs a planned stop: leaves the balancer, gives up its roles, finishes requests in flight.
--- a/crates/spanfoldd/tests/promises/at_most_once.rs
+++ b/crates/spanfoldd/tests/promises/at_most_once.rs
@@ -6,22 +6,25 @@
 
 const PATH: &str = "/services/desk/bookings";
 
-async fn book(deployment: &Deployment, vm: &str, key: &str, body: &str) -> Option<Answer> {
+async fn send_booking(deployment: &Deployment, vm: &str, key: &str, body: &str) -> Option<Answer> {
     let headers = [("idempotency-key", key), ("spanfold-deadline-ms", "4000")];
-    Caller::new("key-small").send(deployment.callers(vm), "POST", PATH, &headers, body.to_owned()).await.ok()
+    Caller::new("key-small")
+        .send(deployment.caller_address(vm), "POST", PATH, &headers, body.to_owned())
+        .await
+        .ok()
 }
 
 fn run_count(deployment: &Deployment, body: &str) -> u32 {
-    deployment.services.values().map(|service| service.runs(body)).sum()
+    deployment.services.values().map(|service| service.run_count(body)).sum()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_retry_at_any_vm_gets_the_recorded_answer() {
     let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
-    let first = book(&deployment, "vm-a1", "k1", "slot 9").await.unwrap();
+    let first = send_booking(&deployment, "vm-a1", "k1", "slot 9").await.unwrap();
     assert_eq!(first.status, 200, "{}", first.text);
     for vm in ["vm-a1", "vm-a2", "vm-b1", "vm-b2"] {
-        let retry = book(&deployment, vm, "k1", "slot 9").await.unwrap();
+        let retry = send_booking(&deployment, vm, "k1", "slot 9").await.unwrap();
         assert_eq!((retry.status, &retry.text), (200, &first.text), "at {vm}");
         assert_eq!(retry.headers.get("spanfold-replayed").map(String::as_str), Some("yes"));
     }
@@ -33,7 +36,8 @@
     let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     for round in 0..5 {
         let (key, body) = (format!("race {round}"), format!("slot {round}"));
-        let attempts = ["vm-a1", "vm-a2", "vm-b1", "vm-b2"].map(|vm| book(&deployment, vm, &key, &body));
+        let attempts =
+            ["vm-a1", "vm-a2", "vm-b1", "vm-b2"].map(|vm| send_booking(&deployment, vm, &key, &body));
         let [a, b, c, d] = attempts;
         let (a, b, c, d) = tokio::join!(a, b, c, d);
         let good = [a, b, c, d].into_iter().flatten().filter(|answer| answer.status == 200).count();
@@ -45,14 +49,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_same_key_with_another_body_is_refused() {
     let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
-    assert_eq!(book(&deployment, "vm-a1", "k", "slot 1").await.unwrap().status, 200);
-    let other = book(&deployment, "vm-b1", "k", "slot 2").await.unwrap();
+    assert_eq!(send_booking(&deployment, "vm-a1", "k", "slot 1").await.unwrap().status, 200);
+    let other = send_booking(&deployment, "vm-b1", "k", "slot 2").await.unwrap();
     assert_eq!((other.status, other.ran(), other.code().as_str()), (422, "no", "key_reused"));
     assert_eq!(run_count(&deployment, "slot 2"), 0);
     // Keys belong to an account: the same text is a different key for another account.
     let headers = [("idempotency-key", "k")];
     let caller = Caller::new("key-large");
-    let answer = caller.send(deployment.callers("vm-a1"), "POST", PATH, &headers, "slot 3").await.unwrap();
+    let answer =
+        caller.send(deployment.caller_address("vm-a1"), "POST", PATH, &headers, "slot 3").await.unwrap();
     assert_eq!(answer.status, 200);
 }
 
@@ -63,7 +68,7 @@
         service.set_work_millis(1_500);
     }
     let first = {
-        let call = book(&deployment, "vm-a1", "k", "slot 7");
+        let call = send_booking(&deployment, "vm-a1", "k", "slot 7");
         tokio::pin!(call);
         loop {
             tokio::select! {
@@ -79,7 +84,7 @@
     assert!(first.is_none(), "the call must still run when its VM is killed");
     deployment.kill_vm("vm-a1");
     for vm in ["vm-a2", "vm-b1"] {
-        let retry = book(&deployment, vm, "k", "slot 7").await.unwrap();
+        let retry = send_booking(&deployment, vm, "k", "slot 7").await.unwrap();
         assert_eq!((retry.status, retry.ran()), (409, "unknown"), "at {vm}: {}", retry.text);
     }
     assert_eq!(run_count(&deployment, "slot 7"), 1);
@@ -88,9 +93,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_vm_killed_after_its_answer_leaves_the_recorded_answer() {
     let mut deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
-    let first = book(&deployment, "vm-a1", "k", "slot 8").await.unwrap();
+    let first = send_booking(&deployment, "vm-a1", "k", "slot 8").await.unwrap();
     deployment.kill_vm("vm-a1");
-    let retry = book(&deployment, "vm-b2", "k", "slot 8").await.unwrap();
+    let retry = send_booking(&deployment, "vm-b2", "k", "slot 8").await.unwrap();
     assert_eq!((retry.status, retry.text), (200, first.text));
     assert_eq!(run_count(&deployment, "slot 8"), 1);
 }
@@ -98,8 +103,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_vm_killed_before_dispatch_runs_nothing_twice() {
     let mut deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
-    deployment.platform.faults().slow(300);
-    let address = deployment.callers("vm-a1");
+    deployment.platform.faults().set_delay_millis(300);
+    let address = deployment.caller_address("vm-a1");
     let first = tokio::spawn(async move {
         let headers = [("idempotency-key", "k")];
         Caller::new("key-small").send(address, "POST", PATH, &headers, "slot 6").await.ok()
@@ -110,8 +115,8 @@
     })
     .await;
     deployment.kill_vm("vm-a1");
-    deployment.platform.faults().slow(0);
-    let retry = book(&deployment, "vm-b1", "k", "slot 6").await.unwrap();
+    deployment.platform.faults().set_delay_millis(0);
+    let retry = send_booking(&deployment, "vm-b1", "k", "slot 6").await.unwrap();
     assert!(matches!((retry.status, retry.ran()), (200, _) | (409, "unknown")), "{}", retry.text);
     assert!(run_count(&deployment, "slot 6") <= 1);
 }
@@ -119,8 +124,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claimant_paused_past_its_deadline_does_not_run_it_twice() {
     let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
-    deployment.platform.faults().slow(200);
-    let address = deployment.callers("vm-a1");
+    deployment.platform.faults().set_delay_millis(200);
+    let address = deployment.caller_address("vm-a1");
     let first = tokio::spawn(async move {
         let headers = [("idempotency-key", "k"), ("spanfold-deadline-ms", "1000")];
         Caller::new("key-small").send(address, "POST", PATH, &headers, "slot 5").await.ok()
@@ -131,8 +136,8 @@
     })
     .await;
     deployment.pause_vm("vm-a1", true);
-    deployment.platform.faults().slow(0);
-    let concurrent = book(&deployment, "vm-b1", "k", "slot 5").await.unwrap();
+    deployment.platform.faults().set_delay_millis(0);
+    let concurrent = send_booking(&deployment, "vm-b1", "k", "slot 5").await.unwrap();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     deployment.pause_vm("vm-a1", false);
     let first = first.await.unwrap();
@@ -154,10 +159,10 @@
 async fn a_claim_whose_reply_is_lost_still_runs_once() {
     let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     deployment.platform.faults().lose_replies(1);
-    let first = book(&deployment, "vm-a1", "k", "slot 4").await.unwrap();
+    let first = send_booking(&deployment, "vm-a1", "k", "slot 4").await.unwrap();
     assert!(first.status == 200 || first.ran() == "no", "{}", first.text);
     eventually("a retry gets a final answer", || async {
-        book(&deployment, "vm-b1", "k", "slot 4").await.is_some_and(|answer| answer.status == 200)
+        send_booking(&deployment, "vm-b1", "k", "slot 4").await.is_some_and(|answer| answer.status == 200)
     })
     .await;
     assert_eq!(run_count(&deployment, "slot 4"), 1);
@@ -167,13 +172,13 @@
 async fn during_a_platform_outage_nothing_runs_and_the_caller_gets_an_error() {
     let deployment = Deployment::start(two_data_centres(binary())).await.unwrap();
     deployment.platform.faults().cut(true);
-    let answer = book(&deployment, "vm-a1", "k", "slot 3").await.unwrap();
+    let answer = send_booking(&deployment, "vm-a1", "k", "slot 3").await.unwrap();
     assert_eq!((answer.status, answer.ran()), (503, "no"), "{}", answer.text);
     assert!(answer.headers.contains_key("retry-after"));
     assert_eq!(run_count(&deployment, "slot 3"), 0);
     deployment.platform.faults().cut(false);
     eventually("the call runs once the platform is available again", || async {
-        book(&deployment, "vm-a1", "k", "slot 3").await.is_some_and(|answer| answer.status == 200)
+        send_booking(&deployment, "vm-a1", "k", "slot 3").await.is_some_and(|answer| answer.status == 200)
     })
     .await;
     assert_eq!(run_count(&deployment, "slot 3"), 1);
@@ -186,7 +191,7 @@
         service.faults().lose_replies(1);
     }
     let caller = Caller::new("key-small");
-    let answer = caller.send(deployment.callers("vm-a1"), "POST", PATH, &[], "slot 2").await.unwrap();
+    let answer = caller.send(deployment.caller_address("vm-a1"), "POST", PATH, &[], "slot 2").await.unwrap();
     assert_eq!((answer.status, answer.ran()), (502, "unknown"), "{}", answer.text);
     assert_eq!(run_count(&deployment, "slot 2"), 1);
 }
--- a/crates/spanfoldd/tests/promises/bad_input.rs
+++ b/crates/spanfoldd/tests/promises/bad_input.rs
@@ -44,7 +44,7 @@
 ) {
     let deployment = Deployment::start(plan()).await.unwrap();
     let answer =
-        Caller::new(key).send(deployment.callers("vm-a1"), "POST", path, headers, body).await.unwrap();
+        Caller::new(key).send(deployment.caller_address("vm-a1"), "POST", path, headers, body).await.unwrap();
     assert_eq!(
         (answer.status, answer.code().as_str(), answer.ran()),
         (status, code, "no"),
@@ -53,8 +53,9 @@
     );
     assert!(!answer.text.contains("SECRET") && !answer.text.contains("key-"), "{}", answer.text);
     // The VM still serves valid requests.
-    let valid =
-        Caller::new("key-small").complete(deployment.callers("vm-a1"), "visa-7b", "hello", 2, &[]).await;
+    let valid = Caller::new("key-small")
+        .complete(deployment.caller_address("vm-a1"), "visa-7b", "hello", 2, &[])
+        .await;
     assert_eq!(valid.unwrap().status, 200);
 }
 
@@ -63,7 +64,7 @@
     let deployment = Deployment::start(plan()).await.unwrap();
     let key = "k".repeat(257);
     let headers = [("idempotency-key", key.as_str())];
-    let address = deployment.callers("vm-a1");
+    let address = deployment.caller_address("vm-a1");
     let answer =
         Caller::new("key-small").send(address, "POST", "/services/desk/x", &headers, "").await.unwrap();
     assert_eq!((answer.status, answer.code().as_str(), answer.ran()), (400, "invalid_header", "no"));
@@ -74,7 +75,8 @@
     let deployment = Deployment::start(plan()).await.unwrap();
     let caller = Caller::new("key-small");
     let prompt = long_prompt(20, "too long");
-    let answer = caller.complete(deployment.callers("vm-a1"), "visa-7b", &prompt, 2, &[]).await.unwrap();
+    let answer =
+        caller.complete(deployment.caller_address("vm-a1"), "visa-7b", &prompt, 2, &[]).await.unwrap();
     assert_eq!((answer.status, answer.code().as_str(), answer.ran()), (413, "too_large", "no"));
 }
 
@@ -85,7 +87,7 @@
 #[test_macro(tokio::test(flavor = "multi_thread"))]
 async fn a_caller_that_sends_too_slowly_is_disconnected(start: &str, status: u16) {
     let deployment = Deployment::start(plan()).await.unwrap();
-    let mut socket = tokio::net::TcpStream::connect(deployment.callers("vm-a1")).await.unwrap();
+    let mut socket = tokio::net::TcpStream::connect(deployment.caller_address("vm-a1")).await.unwrap();
     socket.write_all(start.as_bytes()).await.unwrap();
     let mut answer = Vec::new();
     let read = tokio::time::timeout(Duration::from_secs(20), socket.read_to_end(&mut answer)).await;
@@ -100,9 +102,10 @@
     let deployment = Deployment::start(plan()).await.unwrap();
     let caller = Caller::new("key-small");
     let upload = vec![b'x'; 3_000_000];
-    let address = deployment.callers("vm-a1");
+    let address = deployment.caller_address("vm-a1");
     let answer = caller.send(address, "POST", "/services/desk/jobs", &[], upload.clone()).await.unwrap();
     assert_eq!(answer.status, 200, "{}", answer.text);
-    let received: u64 = deployment.services.values().map(spanfold_standin::ServiceStandin::bytes).sum();
+    let received: u64 =
+        deployment.services.values().map(spanfold_standin::ServiceStandin::received_bytes).sum();
     assert_eq!(received, upload.len() as u64);
 }
--- a/crates/spanfoldd/tests/promises/cache_safety.rs
+++ b/crates/spanfoldd/tests/promises/cache_safety.rs
@@ -14,7 +14,8 @@
 
 async fn complete_prompt(deployment: &Deployment, account: &str, prompt: &str) -> spanfold_standin::Answer {
     let caller = Caller::new(&format!("key-{account}"));
-    let answer = caller.complete(deployment.callers("vm-a1"), "visa-7b", prompt, TOKENS, &[]).await.unwrap();
+    let answer =
+        caller.complete(deployment.caller_address("vm-a1"), "visa-7b", prompt, TOKENS, &[]).await.unwrap();
     assert_eq!(answer.status, 200, "{}", answer.text);
     answer
 }
@@ -27,7 +28,7 @@
 }
 
 async fn evict_from_engine(deployment: &Deployment) {
-    deployment.engines["engine-a1"].forget(false);
+    deployment.engines["engine-a1"].evict_all(false);
     eventually("the eviction is recorded", || async {
         deployment.status("vm-a1").await["held_pieces"].as_u64() == Some(0)
     })
@@ -37,7 +38,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_half_written_block_is_not_used() {
     let deployment = one_engine().await;
-    deployment.stores["store-a"].faults().truncate(3);
+    deployment.stores["store-a"].faults().truncate_blocks(3);
     let prompt = long_prompt(5, "half");
     let expected = expected_answer(&salt("small"), "1", &prompt, TOKENS);
     assert_eq!(complete_prompt(&deployment, "small", &prompt).await.text, expected);
@@ -76,7 +77,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_full_store_keeps_serving_and_evicts_blocks() {
     let mut plan = DeploymentPlan::default();
-    plan.stores[0].room = 8;
+    plan.stores[0].capacity_blocks = 8;
     plan.engines.truncate(1);
     let deployment = Deployment::start(plan).await.unwrap();
     for number in 0..6 {
@@ -108,7 +109,7 @@
     let prompt = long_prompt(5, "versions");
     complete_prompt(&deployment, "small", &prompt).await;
     wait_until_stored(&deployment, 5).await;
-    deployment.engines["engine-a1"].load_version("2");
+    deployment.engines["engine-a1"].set_version("2");
     let text = deployment.declarations().replace("version = 1", "version = 2");
     let generation = deployment.apply(&text).await.unwrap();
     eventually("the configuration is in force", || async {
@@ -135,17 +136,17 @@
         engine.rates.decode_micros = 20_000;
     }
     let deployment = Deployment::start(plan).await.unwrap();
-    let address = deployment.callers("vm-a1");
+    let address = deployment.caller_address("vm-a1");
     let call =
         tokio::spawn(
             async move { Caller::new("key-small").complete(address, "visa-7b", "hello", 40, &[]).await },
         );
     eventually("an engine runs the prompt", || async {
-        deployment.engines.values().any(|engine| !engine.started().is_empty())
+        deployment.engines.values().any(|engine| !engine.started_stream_ids().is_empty())
     })
     .await;
     for engine in deployment.engines.values() {
-        engine.load_version("2");
+        engine.set_version("2");
     }
     let text = deployment.declarations().replace("version = 1", "version = 2");
     deployment.apply(&text).await.unwrap();
@@ -158,6 +159,6 @@
     let prompt = long_prompt(5, "silent");
     let expected = expected_answer(&salt("small"), "1", &prompt, TOKENS);
     complete_prompt(&deployment, "small", &prompt).await;
-    deployment.engines["engine-a1"].forget(true);
+    deployment.engines["engine-a1"].evict_all(true);
     assert_eq!(complete_prompt(&deployment, "small", &prompt).await.text, expected);
 }
--- a/crates/spanfoldd/tests/promises/leaving.rs
+++ b/crates/spanfoldd/tests/promises/leaving.rs
@@ -25,14 +25,14 @@
 /// Asserts that engine-a1 gets no new work once its departure is recorded, while other engines serve.
 async fn assert_no_new_work(deployment: &Deployment) {
     eventually("the departure is recorded", || async { !accepts_work(deployment, "engine-a1").await }).await;
-    let before = deployment.engines["engine-a1"].started().len();
+    let before = deployment.engines["engine-a1"].started_stream_ids().len();
     for number in 0..12 {
         let prompt = format!("after the departure {number}");
-        let address = deployment.callers(if number % 2 == 0 { "vm-a1" } else { "vm-a2" });
+        let address = deployment.caller_address(if number % 2 == 0 { "vm-a1" } else { "vm-a2" });
         let answer = Caller::new("key-small").complete(address, "visa-7b", &prompt, 2, &[]).await.unwrap();
         assert_eq!(answer.status, 200, "{}", answer.text);
     }
-    assert_eq!(deployment.engines["engine-a1"].started().len(), before);
+    assert_eq!(deployment.engines["engine-a1"].started_stream_ids().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -96,7 +96,7 @@
         let replacement = format!("vm-n{number}");
         deployment.start_vm(&replacement, centre).await.unwrap();
         deployment.wait_ready().await.unwrap();
-        let address = deployment.callers(name);
+        let address = deployment.caller_address(name);
         let mut calls = tokio::task::JoinSet::new();
         for call in 0..10 {
             calls.spawn(async move {
--- a/crates/spanfoldd/tests/promises/not_run.rs
+++ b/crates/spanfoldd/tests/promises/not_run.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 fn started(deployment: &Deployment) -> usize {
-    deployment.engines.values().map(|engine| engine.started().len()).sum()
+    deployment.engines.values().map(|engine| engine.started_stream_ids().len()).sum()
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -15,7 +15,7 @@
         engine.kill();
     }
     let caller = Caller::new("key-small");
-    let address = deployment.callers("vm-a1");
+    let address = deployment.caller_address("vm-a1");
     for _ in 0..4 {
         let answer = caller.complete(address, "visa-7b", "hello", 4, &[]).await.unwrap();
         assert_eq!((answer.status, answer.ran()), (503, "no"), "{}", answer.text);
@@ -35,10 +35,11 @@
     let caller = Caller::new("key-small");
     for number in 0..6 {
         let prompt = format!("question {number}");
-        let answer = caller.complete(deployment.callers("vm-a1"), "visa-7b", &prompt, 4, &[]).await.unwrap();
+        let answer =
+            caller.complete(deployment.caller_address("vm-a1"), "visa-7b", &prompt, 4, &[]).await.unwrap();
         assert_eq!(answer.status, 200, "{}", answer.text);
     }
-    assert_eq!(deployment.engines["engine-a1"].started().len(), 0);
+    assert_eq!(deployment.engines["engine-a1"].started_stream_ids().len(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -48,7 +49,8 @@
         deployment.engines[name].faults().lose_replies(1);
     }
     let caller = Caller::new("key-small");
-    let answer = caller.complete(deployment.callers("vm-a1"), "visa-7b", "hello", 4, &[]).await.unwrap();
+    let answer =
+        caller.complete(deployment.caller_address("vm-a1"), "visa-7b", "hello", 4, &[]).await.unwrap();
     assert_eq!(answer.status, 200, "{}", answer.text);
 }
 
@@ -59,7 +61,7 @@
         engine.rates = EngineRates { prefill_micros: 2_000, ..EngineRates::default() };
     }
     let deployment = Deployment::start(plan).await.unwrap();
-    let address = deployment.callers("vm-a1");
+    let address = deployment.caller_address("vm-a1");
     // The rates of engines are estimated from their answers.
     for engine in ["first", "second"] {
         let prompt = crate::support::long_prompt(1, engine);
@@ -105,7 +107,7 @@
     );
     plan.accounts = vec![("small".to_owned(), 50.0)];
     let deployment = Deployment::start(plan).await.unwrap();
-    let address = deployment.callers("vm-a1");
+    let address = deployment.caller_address("vm-a1");
     let mut codes = Vec::new();
     for _ in 0..4 {
         let answer = Caller::new("key-tight").complete(address, "visa-7b", "hello", 1, &[]).await.unwrap();
--- a/crates/spanfoldd/tests/promises/orders.rs
+++ b/crates/spanfoldd/tests/promises/orders.rs
@@ -45,7 +45,7 @@
     assert!((1..=3).contains(&max_loading), "{max_loading} at once");
     eventually("version 2 serves a prompt", || async {
         let caller = Caller::new("key-small");
-        let answer = caller.complete(deployment.callers("vm-a1"), "visa-7b", "hello", 2, &[]).await;
+        let answer = caller.complete(deployment.caller_address("vm-a1"), "visa-7b", "hello", 2, &[]).await;
         answer.is_ok_and(|answer| answer.status == 200)
     })
     .await;
--- a/crates/spanfoldd/tests/promises/whole_answer.rs
+++ b/crates/spanfoldd/tests/promises/whole_answer.rs
@@ -20,7 +20,7 @@
 }
 
 fn running_engine(deployment: &Deployment) -> String {
-    let busy = deployment.engines.iter().find(|(_, engine)| !engine.started().is_empty());
+    let busy = deployment.engines.iter().find(|(_, engine)| !engine.started_stream_ids().is_empty());
     busy.map(|(name, _)| name.clone()).expect("one engine runs the prompt")
 }
 
@@ -39,10 +39,11 @@
         engine.faults().break_streams(2);
     }
     let caller = Caller::new("key-small");
-    let answer = caller.complete(deployment.callers("vm-a1"), "visa-7b", "hello", TOKENS, &[]).await.unwrap();
+    let answer =
+        caller.complete(deployment.caller_address("vm-a1"), "visa-7b", "hello", TOKENS, &[]).await.unwrap();
     assert_eq!(answer.text, expected_answer(&salt("small"), "1", "hello", TOKENS));
     assert_eq!(answer.events, TOKENS);
-    let started: usize = deployment.engines.values().map(|engine| engine.started().len()).sum();
+    let started: usize = deployment.engines.values().map(|engine| engine.started_stream_ids().len()).sum();
     assert_eq!(started, 1, "resumed, not run again");
 }
 
@@ -61,18 +62,20 @@
             }
         }
         let caller = Caller::new("key-small");
-        let answer =
-            caller.complete(deployment.callers("vm-a1"), "visa-7b", "hello", TOKENS, &[]).await.unwrap();
+        let answer = caller
+            .complete(deployment.caller_address("vm-a1"), "visa-7b", "hello", TOKENS, &[])
+            .await
+            .unwrap();
         assert_eq!((answer.text.as_str(), answer.events), (expected.as_str(), TOKENS), "{fault}");
     }
-    let started: usize = deployment.engines.values().map(|engine| engine.started().len()).sum();
+    let started: usize = deployment.engines.values().map(|engine| engine.started_stream_ids().len()).sum();
     assert_eq!(started, 2, "resumed, not run again");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_crashes_mid_answer_is_replaced_transparently() {
     let deployment = Deployment::start(slow_plan()).await.unwrap();
-    let address = deployment.callers("vm-a1");
+    let address = deployment.caller_address("vm-a1");
     let call = tokio::spawn(async move {
         Caller::new("key-small").complete(address, "visa-7b", "hello", TOKENS, &[]).await
     });
@@ -86,7 +89,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn with_every_engine_crashed_the_answer_is_reported_incomplete() {
     let deployment = Deployment::start(slow_plan()).await.unwrap();
-    let address = deployment.callers("vm-a1");
+    let address = deployment.caller_address("vm-a1");
     let call = tokio::spawn(async move {
         Caller::new("key-small").complete(address, "visa-7b", "hello", TOKENS, &[]).await
     });
@@ -111,10 +114,11 @@
     let deployment = Deployment::start(slow_plan()).await.unwrap();
     let caller = Caller::new("key-small");
     let expected = expected_answer(&salt("small"), "1", "hello", TOKENS);
-    let first = caller.stream(deployment.callers("vm-a1"), &[], body("hello"), Some(7)).await.unwrap();
+    let first = caller.stream(deployment.caller_address("vm-a1"), &[], body("hello"), Some(7)).await.unwrap();
     for vm in ["vm-a2", "vm-b1"] {
-        let headers = [("last-event-id", first.last_id.as_str())];
-        let remainder = caller.stream(deployment.callers(vm), &headers, body("hello"), None).await.unwrap();
+        let headers = [("last-event-id", first.last_event_id.as_str())];
+        let remainder =
+            caller.stream(deployment.caller_address(vm), &headers, body("hello"), None).await.unwrap();
         assert_eq!(format!("{}{}", first.text, remainder.text), expected, "at {vm}");
     }
 }
@@ -123,10 +127,11 @@
 async fn a_caller_resumes_after_its_vm_was_killed() {
     let mut deployment = Deployment::start(slow_plan()).await.unwrap();
     let caller = Caller::new("key-small");
-    let first = caller.stream(deployment.callers("vm-a1"), &[], body("hello"), Some(7)).await.unwrap();
+    let first = caller.stream(deployment.caller_address("vm-a1"), &[], body("hello"), Some(7)).await.unwrap();
     deployment.kill_vm("vm-a1");
-    let headers = [("last-event-id", first.last_id.as_str())];
-    let remainder = caller.stream(deployment.callers("vm-a2"), &headers, body("hello"), None).await.unwrap();
+    let headers = [("last-event-id", first.last_event_id.as_str())];
+    let remainder =
+        caller.stream(deployment.caller_address("vm-a2"), &headers, body("hello"), None).await.unwrap();
     assert_eq!(
         format!("{}{}", first.text, remainder.text),
         expected_answer(&salt("small"), "1", "hello", TOKENS)
@@ -136,16 +141,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_token_that_is_forged_or_of_another_account_is_refused() {
     let deployment = Deployment::start(slow_plan()).await.unwrap();
-    let address = deployment.callers("vm-a1");
+    let address = deployment.caller_address("vm-a1");
     let first = Caller::new("key-small").stream(address, &[], body("hello"), Some(3)).await.unwrap();
-    let (token, _) = first.last_id.rsplit_once('.').unwrap();
+    let (token, _) = first.last_event_id.rsplit_once('.').unwrap();
     let flip = |text: &str| {
         let last = if text.ends_with('A') { 'B' } else { 'A' };
         format!("{}{last}", &text[..text.len() - 1])
     };
     let forged = [flip(token) + ".3", "x.y.3".to_owned(), "3".to_owned(), String::new()];
-    for (key, id) in
-        forged.iter().map(|id| ("key-small", id.as_str())).chain([("key-large", first.last_id.as_str())])
+    for (key, id) in forged
+        .iter()
+        .map(|id| ("key-small", id.as_str()))
+        .chain([("key-large", first.last_event_id.as_str())])
     {
         let answer =
             Caller::new(key).stream(address, &[("last-event-id", id)], body("hello"), None).await.unwrap();
@@ -158,7 +165,7 @@
 async fn a_home_vm_that_crashes_costs_no_request() {
     let mut deployment = Deployment::start(slow_plan()).await.unwrap();
     let (home, entry) = home_and_other_vm(&deployment).await;
-    let address = deployment.callers(entry);
+    let address = deployment.caller_address(entry);
     let mut calls = tokio::task::JoinSet::new();
     for number in 0..30_u64 {
         calls.spawn(async move {
@@ -189,7 +196,7 @@
         let prompt = format!("question {number}");
         let headers = [("spanfold-deadline-ms", "1400")];
         let answer =
-            caller.complete(deployment.callers(entry), "visa-7b", &prompt, 4, &headers).await.unwrap();
+            caller.complete(deployment.caller_address(entry), "visa-7b", &prompt, 4, &headers).await.unwrap();
         assert_eq!(answer.status, 200, "{}", answer.text);
     }
     deployment.pause_vm(home, false);
@@ -202,7 +209,8 @@
     let caller = Caller::new("key-small");
     for number in 0..6 {
         let prompt = format!("question {number}");
-        let answer = caller.complete(deployment.callers("vm-a1"), "visa-7b", &prompt, 4, &[]).await.unwrap();
+        let answer =
+            caller.complete(deployment.caller_address("vm-a1"), "visa-7b", &prompt, 4, &[]).await.unwrap();
         assert_eq!(answer.text, expected_answer(&salt("small"), "1", &prompt, 4));
     }
 }
@@ -224,8 +232,10 @@
         let prompt = crate::support::long_prompt(2, &format!("subject {number}"));
         let headers = [("spanfold-deadline-ms", "1400")];
         let caller = Caller::new("key-small");
-        let answer =
-            caller.complete(deployment.callers("vm-a1"), "visa-7b", &prompt, 4, &headers).await.unwrap();
+        let answer = caller
+            .complete(deployment.caller_address("vm-a1"), "visa-7b", &prompt, 4, &headers)
+            .await
+            .unwrap();
         assert_eq!(answer.text, expected_answer(&salt("small"), "1", &prompt, 4));
     }
 }
--- a/crates/spanfoldd/tests/promises/whole_path.rs
+++ b/crates/spanfoldd/tests/promises/whole_path.rs
@@ -12,7 +12,8 @@
     let prompt = long_prompt(3, "whole path");
     let expected = expected_answer(&salt("small"), "1", &prompt, 12);
     for name in names {
-        let answer = caller.complete(deployment.callers(&name), "visa-7b", &prompt, 12, &[]).await.unwrap();
+        let answer =
+            caller.complete(deployment.caller_address(&name), "visa-7b", &prompt, 12, &[]).await.unwrap();
         assert_eq!((answer.status, answer.text.as_str()), (200, expected.as_str()), "through {name}");
     }
 }
@@ -21,7 +22,7 @@
 async fn an_answer_without_stream_and_as_chat_is_complete() {
     let deployment = Deployment::start(DeploymentPlan::default()).await.unwrap();
     let caller = Caller::new("key-small");
-    let address = deployment.callers("vm-a1");
+    let address = deployment.caller_address("vm-a1");
     let body = r#"{"model":"visa-7b","prompt":"which form?","max_tokens":5}"#;
     let answer = caller.send(address, "POST", "/v1/completions", &[], body).await.unwrap();
     let value: serde_json::Value = serde_json::from_str(&answer.text).unwrap();
@@ -42,7 +43,7 @@
     let plan = DeploymentPlan { engines: vec![engine], ..DeploymentPlan::default() };
     let deployment = Deployment::start(plan).await.unwrap();
     let caller = Caller::new("key-large");
-    let address = deployment.callers("vm-a1");
+    let address = deployment.caller_address("vm-a1");
     let prompt = long_prompt(6, "manual");
     let first = caller.complete(address, "visa-7b", &prompt, 4, &[]).await.unwrap();
     assert!(first.usage("computed") > 6_000, "{:?}", first.headers);
@@ -58,7 +59,7 @@
         deployment.status("vm-a1").await["kept_pieces"].as_u64().unwrap_or(0) >= 6
     })
     .await;
-    deployment.engines["engine-a1"].forget(false);
+    deployment.engines["engine-a1"].evict_all(false);
     eventually("the eviction is recorded", || async {
         deployment.status("vm-a1").await["held_pieces"].as_u64() == Some(0)
     })
--- a/crates/standin/examples/bench.rs
+++ b/crates/standin/examples/bench.rs
@@ -121,7 +121,7 @@
             .map(|n| StorePlan {
                 name: format!("store-{n}"),
                 data_centre: "stores".to_owned(),
-                room: integer(fleet, "room"),
+                capacity_blocks: integer(fleet, "room"),
                 transfer_micros: number(fleet, "transfer_us") as u64,
             })
             .collect(),
@@ -211,7 +211,7 @@
     calls: &[PlannedCall],
     workload: &Section,
 ) -> Vec<CallResult> {
-    let addresses: Vec<SocketAddr> = vms.iter().map(|name| deployment.callers(name)).collect();
+    let addresses: Vec<SocketAddr> = vms.iter().map(|name| deployment.caller_address(name)).collect();
     let callers: BTreeMap<String, Caller> = calls
         .iter()
         .map(|call| (call.account.clone(), Caller::new(&format!("key-{}", call.account))))
@@ -233,7 +233,7 @@
                     account: call.account,
                     code: answer.code(),
                     status: answer.status,
-                    first_millis: answer.first.as_secs_f64() * 1e3,
+                    first_millis: answer.first_event_after.as_secs_f64() * 1e3,
                     usage: ["cached", "imported", "computed"].map(|source| answer.usage(source)),
                     requested_tokens,
                     served_tokens: if answer.status == 200 { requested_tokens } else { 0 },
--- a/crates/standin/examples/daemon_cost.rs
+++ b/crates/standin/examples/daemon_cost.rs
@@ -65,7 +65,8 @@
             let body = json!({ "model": "visa-7b", "prompt": format!("question {call}"), "max_tokens": tokens,
                                "stream": true });
             let answer = caller.stream(address, &[], body.to_string(), None).await.ok()?;
-            let times = (answer.first.as_secs_f64() * 1e6, answer.total.as_secs_f64() * 1e6);
+            let times =
+                (answer.first_event_after.as_secs_f64() * 1e6, answer.finished_after.as_secs_f64() * 1e6);
             (answer.status == 200).then_some(times)
         });
     }
@@ -85,7 +86,7 @@
         }
     }
     let other_vms: Vec<String> = (0..3).map(|vm| format!("vm-{vm}")).filter(|name| *name != home).collect();
-    let (address, rate, seconds) = (deployment.callers(&other_vms[0]), 100, 8);
+    let (address, rate, seconds) = (deployment.caller_address(&other_vms[0]), 100, 8);
     let calls = tokio::spawn(call_at_rate(address, rate, seconds, 20));
     tokio::time::sleep(Duration::from_secs(2)).await;
     deployment.kill_vm(&home);
@@ -129,7 +130,7 @@
         let (mut direct_first, _) = call_at_rate(direct, rate, 3, 1).await;
         let before = processor_seconds(id);
         let started_at = Instant::now();
-        let (mut proxied_first, _) = call_at_rate(deployment.callers("vm-0"), rate, 3, 1).await;
+        let (mut proxied_first, _) = call_at_rate(deployment.caller_address("vm-0"), rate, 3, 1).await;
         let processor_s = processor_seconds(id) - before;
         println!(
             "    {rate:>5}/s: direct p50 {:>5.0} p99 {:>6.0}, through p50 {:>5.0} p99 {:>6.0}, served {}, {:>5.0} us of processor a request, {:>4.1}% of a core",
@@ -149,7 +150,7 @@
         let id = deployment.process_id("vm-0").unwrap_or(0);
         let tokens = 5_000_000 / decode_micros as u32;
         let before = (processor_seconds(id), Instant::now());
-        let (_, total) = call_at_rate(deployment.callers("vm-0"), 400, 1, tokens).await;
+        let (_, total) = call_at_rate(deployment.caller_address("vm-0"), 400, 1, tokens).await;
         let (processor_s, elapsed_s) = (processor_seconds(id) - before.0, before.1.elapsed().as_secs_f64());
         let events = metric(&deployment.metrics("vm-0").await, "spanfold_events_out_total");
         println!(
@@ -183,8 +184,8 @@
             if rate == 0 {
                 tokio::time::sleep(Duration::from_secs(10)).await;
             } else {
-                let calls =
-                    (0..vms).map(|vm| call_at_rate(deployment.callers(&format!("vm-{vm}")), rate, 10, 4));
+                let calls = (0..vms)
+                    .map(|vm| call_at_rate(deployment.caller_address(&format!("vm-{vm}")), rate, 10, 4));
                 let mut tasks = tokio::task::JoinSet::new();
                 for call in calls.collect::<Vec<_>>() {
                     tasks.spawn(call);
--- a/crates/standin/examples/quickstart.rs
+++ b/crates/standin/examples/quickstart.rs
@@ -22,7 +22,7 @@
         };
     }
     let deployment = Deployment::start(plan).await?;
-    let address = deployment.callers("vm-a1");
+    let address = deployment.caller_address("vm-a1");
     let caller = Caller::new("key-large");
     println!("one VM at {address}, two engines, one store");
     let prompt = format!("{RULE_SHEET}\nQuestion: which documents does the student desk ask for?");
@@ -34,7 +34,7 @@
         send_prompt(&caller, address, &format!("{number}\n{RULE_SHEET}")).await?;
     }
     for engine in deployment.engines.values() {
-        engine.forget(false);
+        engine.evict_all(false);
     }
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let second = send_prompt(&caller, address, &prompt).await?;
@@ -45,7 +45,7 @@
             "\ntry:\ncurl -N http://{address}/v1/completions -H 'Authorization: Bearer key-small' \\\n  \
              -d '{{\"model\":\"{MODEL}\",\"prompt\":\"Which form?\",\"max_tokens\":8,\"stream\":true}}'\n\
              operators: http://{}/status   (Ctrl-C ends it)",
-            deployment.operators("vm-a1")
+            deployment.operator_address("vm-a1")
         );
         tokio::signal::ctrl_c().await?;
     }
@@ -77,7 +77,7 @@
     let total: u64 = token_counts.iter().sum::<u64>().max(1);
     println!(
         "{name}: first token after {:>6.1} ms, recomputed {:>5.1}% of {total} prompt tokens (imported {})",
-        answer.first.as_secs_f64() * 1e3,
+        answer.first_event_after.as_secs_f64() * 1e3,
         token_counts[2] as f64 * 100.0 / total as f64,
         token_counts[1],
     );
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -31,13 +31,13 @@
     /// The body, or the concatenated text of all events.
     pub text: String,
     /// The id of the last event.
-    pub last_id: String,
+    pub last_event_id: String,
     /// Number of events with text.
     pub events: u32,
     /// Time to the first event of a stream, else to the head.
-    pub first: Duration,
+    pub first_event_after: Duration,
     /// Time to the end of the answer.
-    pub total: Duration,
+    pub finished_after: Duration,
     /// Longest time between two frames of a stream.
     pub longest_gap: Duration,
 }
@@ -97,11 +97,11 @@
         let started_at = Instant::now();
         let response = self.request(address, method, path, headers, body.into()).await?;
         let mut answer = read_head(&response);
-        answer.first = started_at.elapsed();
+        answer.first_event_after = started_at.elapsed();
         let body =
             response.into_body().collect().await.map_err(|error| CallerError::Broken(error.to_string()))?;
         answer.text = String::from_utf8_lossy(&body.to_bytes()).into_owned();
-        answer.total = started_at.elapsed();
+        answer.finished_after = started_at.elapsed();
         Ok(answer)
     }
 
@@ -141,7 +141,7 @@
         while let Some(frame) = stream.frame().await {
             let Ok(frame) = frame else { break };
             if answer.events == 0 {
-                answer.first = started_at.elapsed();
+                answer.first_event_after = started_at.elapsed();
             } else {
                 answer.longest_gap = answer.longest_gap.max(previous_event_at.elapsed());
             }
@@ -154,12 +154,12 @@
                 let event: Vec<u8> = buffer.drain(..end + 2).collect();
                 done |= apply_event(&mut answer, &String::from_utf8_lossy(&event));
                 if max_events.is_some_and(|max_events| answer.events >= max_events) {
-                    answer.total = started_at.elapsed();
+                    answer.finished_after = started_at.elapsed();
                     return Ok(answer);
                 }
             }
         }
-        answer.total = started_at.elapsed();
+        answer.finished_after = started_at.elapsed();
         if answer.status != 200 {
             answer.text = String::from_utf8_lossy(&buffer).into_owned();
             return Ok(answer);
@@ -206,7 +206,7 @@
     if data.is_empty() {
         return false;
     }
-    field("id: ").unwrap_or_default().clone_into(&mut answer.last_id);
+    field("id: ").unwrap_or_default().clone_into(&mut answer.last_event_id);
     if data == "[DONE]" {
         return true;
     }
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -51,7 +51,7 @@
     /// Its data centre.
     pub data_centre: String,
     /// Number of blocks that fit into it.
-    pub room: usize,
+    pub capacity_blocks: usize,
     /// Microseconds to transfer one block over its link.
     pub transfer_micros: u64,
 }
@@ -92,7 +92,7 @@
             stores: vec![StorePlan {
                 name: "store-a".to_owned(),
                 data_centre: "dc-a".to_owned(),
-                room: 1_024,
+                capacity_blocks: 1_024,
                 transfer_micros: 500,
             }],
             services: vec![("desk-a1".to_owned(), "dc-a".to_owned())],
@@ -198,7 +198,7 @@
             self.engines.insert(plan.name.clone(), engine);
         }
         for plan in &self.plan.stores {
-            let store = StoreStandin::start(any_port, plan.room, plan.transfer_micros).await?;
+            let store = StoreStandin::start(any_port, plan.capacity_blocks, plan.transfer_micros).await?;
             self.stores.insert(plan.name.clone(), store);
         }
         for (name, _) in &self.plan.services {
@@ -428,7 +428,7 @@
     ///
     /// # Panics
     /// If there is no such VM.
-    pub fn callers(&self, name: &str) -> SocketAddr {
+    pub fn caller_address(&self, name: &str) -> SocketAddr {
         self.vms[name].callers
     }
 
@@ -436,7 +436,7 @@
     ///
     /// # Panics
     /// If there is no such VM.
-    pub fn operators(&self, name: &str) -> SocketAddr {
+    pub fn operator_address(&self, name: &str) -> SocketAddr {
         self.vms[name].operators
     }
 
@@ -444,7 +444,7 @@
     ///
     /// # Panics
     /// If there is no such VM.
-    pub fn peers(&self, name: &str) -> SocketAddr {
+    pub fn peer_address(&self, name: &str) -> SocketAddr {
         self.vms[name].peers
     }
 
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -189,7 +189,7 @@
     }
 
     /// Returns the stream ids of all runs, in the order of their start.
-    pub fn started(&self) -> Vec<String> {
+    pub fn started_stream_ids(&self) -> Vec<String> {
         lock(&self.state.started_stream_ids).clone()
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// Evicts all blocks, as prolonged other work would; publishes no cache events if `without_events`.
-    pub fn forget(&self, without_events: bool) {
+    pub fn evict_all(&self, without_events: bool) {
         let mut memory = lock(&self.state.memory);
         let keys: Vec<String> = memory.blocks.drain().map(|(key, _)| key).collect();
         if !without_events {
@@ -225,7 +225,7 @@
     }
 
     /// Replaces the loaded weight version at once.
-    pub fn load_version(&self, version: &str) {
+    pub fn set_version(&self, version: &str) {
         version.clone_into(&mut lock(&self.state.version));
     }
 
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -34,7 +34,7 @@
     }
 
     /// Sets the delay of each request.
-    pub fn slow(&self, millis: u64) {
+    pub fn set_delay_millis(&self, millis: u64) {
         self.delay_millis.store(millis, Ordering::SeqCst);
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Stores only half of each of the next `count` blocks.
-    pub fn truncate(&self, count: u64) {
+    pub fn truncate_blocks(&self, count: u64) {
         self.truncations.store(count, Ordering::SeqCst);
     }
 
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 struct ServiceState {
     runs: Mutex<BTreeMap<String, u32>>,
-    bytes: AtomicU64,
+    received_bytes: AtomicU64,
     work_millis: AtomicU64,
     faults: Arc<FaultSwitch>,
 }
@@ -51,14 +51,14 @@
     }
 
     /// Returns how often a call with this body ran.
-    pub fn runs(&self, body: &str) -> u32 {
+    pub fn run_count(&self, body: &str) -> u32 {
         let runs = self.state.runs.lock().unwrap_or_else(PoisonError::into_inner);
         runs.get(body).copied().unwrap_or(0)
     }
 
     /// Returns the bytes of all bodies that it received.
-    pub fn bytes(&self) -> u64 {
-        self.state.bytes.load(Ordering::SeqCst)
+    pub fn received_bytes(&self) -> u64 {
+        self.state.received_bytes.load(Ordering::SeqCst)
     }
 
     /// Sets the delay of each answer after its call has run.
@@ -84,7 +84,7 @@
     }
     let (method, path) = (request.method().clone(), request.uri().path().to_owned());
     let Some(body) = read_body(request).await else { return reply(400, "broken body\n") };
-    state.bytes.fetch_add(body.len() as u64, Ordering::SeqCst);
+    state.received_bytes.fetch_add(body.len() as u64, Ordering::SeqCst);
     let text = String::from_utf8_lossy(&body[..body.len().min(256)]).into_owned();
     let count = {
         let mut runs = state.runs.lock().unwrap_or_else(PoisonError::into_inner);
