--- a/crates/entity/src/name.rs
+++ b/crates/entity/src/name.rs
@@ -1,7 +1,7 @@
 //! Interned names.
 //!
-//! Invariant: a name keeps its index for the lifetime of the table, so an index that is kept across
-//! a change of configuration still refers to the same entity. Messages between VMs contain names;
+//! Invariant: a name keeps its index for the lifetime of the table, so an index that is retained
+//! across a change of configuration still refers to the same entity. Messages between VMs contain names;
 //! rows are addressed by index.
 
 use crate::EntityIndex;
--- a/crates/policy/src/configuration.rs
+++ b/crates/policy/src/configuration.rs
@@ -119,7 +119,7 @@
                 self.next_head_pull_at = context.now.after_millis(PULL_RETRY_DELAY_MILLIS);
                 context.send(from, Message::HeadPull);
             }
-            // The source may be gone; any VM that has the generation in force has its chunks.
+            // The source may have become unreachable; any VM that has the generation in force has its chunks.
             Message::Beat(beat) => self.offer_source(beat.generation, Some(from)),
             Message::HeadPull if context.world.generation > 0 => {
                 let generation = context.world.generation;
--- a/crates/policy/src/entry.rs
+++ b/crates/policy/src/entry.rs
@@ -226,7 +226,7 @@
             }
             // The home repeated the grant because a query crossed with it.
             Some(request) if request.endpoint.as_ref() == Some(&grant.endpoint) => {}
-            // The request is gone, or another endpoint processes it: return the slot.
+            // The request has ended, or another endpoint processes it: return the slot.
             unwanted => {
                 let cell = unwanted.map(|request| request.cell.clone());
                 let cell = cell.or_else(|| self.layout.cell_of(&grant.endpoint).map(str::to_owned));
@@ -392,7 +392,7 @@
 }
 
 fn prompt_group(arrival: &Arrival) -> u64 {
-    // A prompt without a whole block has no cached state to return to: it is spread over the cells.
+    // A prompt without a whole block has no cached state to return to: it is distributed over the cells.
     arrival.keys.first().map_or_else(
         || group_of(hash_pair(&arrival.account, &arrival.request.to_string())),
         |key| group_of(*key),
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -56,10 +56,9 @@
             return;
         }
         let catalogue = std::sync::Arc::clone(&context.world.catalogue);
-        let weight =
+        let share =
             catalogue.account_shares.get(&arrival.pool).and_then(|shares| shares.get(&arrival.account));
-        let Some(account) =
-            catalogue.declarations.accounts.get(&arrival.account).filter(|_| weight.is_some())
+        let Some(account) = catalogue.declarations.accounts.get(&arrival.account).filter(|_| share.is_some())
         else {
             refuse(context, arrival.request, RefusalKind::NoShare, MIN_RETRY_DELAY_MILLIS);
             return;
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -206,8 +206,8 @@
 /// Returns when the endpoint is expected to start a prefill.
 ///
 /// An overdue endpoint at its maximum of prefills is expected to need as much time again as it is late.
-/// Otherwise a frozen endpoint would always look about to become free, and requests would wait for it
-/// in vain.
+/// Otherwise a frozen endpoint would always be expected to become free at once, and requests would wait
+/// for it in vain.
 fn prefill_start_at(input: &PlacementInput<'_>, candidate: &EndpointCandidate) -> Moment {
     let late_micros = input.now.micros_since(candidate.free_at);
     if candidate.prefills < MAX_PREFILLS || late_micros == 0 {
--- a/crates/policy/tests/configuration.rs
+++ b/crates/policy/tests/configuration.rs
@@ -88,7 +88,7 @@
 
 /// Guards against a VM that requests chunks only from its first source.
 ///
-/// When that source is gone, the VM never applies the generation.
+/// When that source becomes unreachable, such a VM never applies the generation.
 #[test]
 fn chunks_are_requested_from_another_vm_if_their_source_becomes_unreachable() {
     let mut vm = TestVm::new();
--- a/crates/spanfoldd/src/block_key.rs
+++ b/crates/spanfoldd/src/block_key.rs
@@ -50,7 +50,7 @@
     (bytes / BYTES_PER_TOKEN).max(1) as u32
 }
 
-/// Returns the salt under which engines cache an account's prompts, given the deployment's secret.
+/// Returns the cache salt of an account's prompts at engines, given the deployment's secret.
 ///
 /// # Examples
 /// ```
--- a/crates/spanfoldd/src/caller/run_forwarder.rs
+++ b/crates/spanfoldd/src/caller/run_forwarder.rs
@@ -28,7 +28,7 @@
 const REOPEN_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time after which a caller that reads nothing counts as disconnected.
 const CALLER_STALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for which a run goes on without its caller, so that the caller can resume it.
+/// Time for which a run continues without its caller, so that the caller can resume it.
 const DETACHED_RUN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// An event of a run for its caller.
--- a/crates/spanfoldd/src/lib.rs
+++ b/crates/spanfoldd/src/lib.rs
@@ -4,7 +4,7 @@
 //! its decisions as effects, which [`Daemon`]'s tasks execute.
 //!
 //! - [`Daemon`] is one running VM; [`DaemonError`] is the reason why it could not start.
-//! - [`cache_salt`] returns the salt under which engines cache an account's prompts.
+//! - [`cache_salt`] returns the cache salt of an account's prompts at engines.
 //! - [`start_logging`] and [`start_output_logging`] set up logging as JSON lines.
 
 mod block_key;
--- a/crates/spanfoldd/tests/promises/cache_safety.rs
+++ b/crates/spanfoldd/tests/promises/cache_safety.rs
@@ -1,6 +1,6 @@
 //! Tests that no freed or half-written block is used, nor a block of another account or version.
 
-use crate::support::{eventually, long_prompt, salt};
+use crate::support::{cache_salt_of, eventually, long_prompt};
 use spanfold_standin::{Caller, Deployment, DeploymentPlan, EnginePlan, EngineRates, expected_answer};
 
 const TOKENS: u32 = 6;
@@ -40,7 +40,7 @@
     let deployment = one_engine().await;
     deployment.stores["store-a"].faults().truncate_blocks(3);
     let prompt = long_prompt(5, "half");
-    let expected = expected_answer(&salt("small"), "1", &prompt, TOKENS);
+    let expected = expected_answer(&cache_salt_of("small"), "1", &prompt, TOKENS);
     assert_eq!(complete_prompt(&deployment, "small", &prompt).await.text, expected);
     wait_until_stored(&deployment, 5).await;
     evict_from_engine(&deployment).await;
@@ -53,7 +53,7 @@
 async fn a_block_freed_between_decision_and_import_is_computed() {
     let deployment = one_engine().await;
     let prompt = long_prompt(5, "freed");
-    let expected = expected_answer(&salt("small"), "1", &prompt, TOKENS);
+    let expected = expected_answer(&cache_salt_of("small"), "1", &prompt, TOKENS);
     complete_prompt(&deployment, "small", &prompt).await;
     wait_until_stored(&deployment, 5).await;
     evict_from_engine(&deployment).await;
@@ -66,7 +66,7 @@
 async fn a_store_that_crashes_costs_a_recomputation() {
     let deployment = one_engine().await;
     let prompt = long_prompt(5, "dead store");
-    let expected = expected_answer(&salt("small"), "1", &prompt, TOKENS);
+    let expected = expected_answer(&cache_salt_of("small"), "1", &prompt, TOKENS);
     complete_prompt(&deployment, "small", &prompt).await;
     wait_until_stored(&deployment, 5).await;
     evict_from_engine(&deployment).await;
@@ -82,7 +82,7 @@
     let deployment = Deployment::start(plan).await.unwrap();
     for number in 0..6 {
         let prompt = long_prompt(4, &format!("manual {number}"));
-        let expected = expected_answer(&salt("small"), "1", &prompt, TOKENS);
+        let expected = expected_answer(&cache_salt_of("small"), "1", &prompt, TOKENS);
         assert_eq!(complete_prompt(&deployment, "small", &prompt).await.text, expected);
         wait_until_stored(&deployment, 1).await;
     }
@@ -95,11 +95,11 @@
     let prompt = long_prompt(5, "shared text");
     assert_eq!(
         complete_prompt(&deployment, "small", &prompt).await.text,
-        expected_answer(&salt("small"), "1", &prompt, TOKENS)
+        expected_answer(&cache_salt_of("small"), "1", &prompt, TOKENS)
     );
     wait_until_stored(&deployment, 5).await;
     let other = complete_prompt(&deployment, "large", &prompt).await;
-    assert_eq!(other.text, expected_answer(&salt("large"), "1", &prompt, TOKENS));
+    assert_eq!(other.text, expected_answer(&cache_salt_of("large"), "1", &prompt, TOKENS));
     assert_eq!((other.usage("cached"), other.usage("imported")), (0, 0), "{:?}", other.headers);
 }
 
@@ -125,7 +125,7 @@
     })
     .await;
     let answer = complete_prompt(&deployment, "small", &prompt).await;
-    assert_eq!(answer.text, expected_answer(&salt("small"), "2", &prompt, TOKENS));
+    assert_eq!(answer.text, expected_answer(&cache_salt_of("small"), "2", &prompt, TOKENS));
     assert_eq!((answer.usage("cached"), answer.usage("imported")), (0, 0), "{:?}", answer.headers);
 }
 
@@ -150,14 +150,14 @@
     }
     let text = deployment.declarations().replace("version = 1", "version = 2");
     deployment.apply(&text).await.unwrap();
-    assert_eq!(call.await.unwrap().unwrap().text, expected_answer(&salt("small"), "1", "hello", 40));
+    assert_eq!(call.await.unwrap().unwrap().text, expected_answer(&cache_salt_of("small"), "1", "hello", 40));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_cache_events_cost_only_a_recomputation() {
     let deployment = one_engine().await;
     let prompt = long_prompt(5, "silent");
-    let expected = expected_answer(&salt("small"), "1", &prompt, TOKENS);
+    let expected = expected_answer(&cache_salt_of("small"), "1", &prompt, TOKENS);
     complete_prompt(&deployment, "small", &prompt).await;
     deployment.engines["engine-a1"].evict_all(true);
     assert_eq!(complete_prompt(&deployment, "small", &prompt).await.text, expected);
--- a/crates/spanfoldd/tests/promises/leaving.rs
+++ b/crates/spanfoldd/tests/promises/leaving.rs
@@ -1,6 +1,6 @@
 //! Tests that departing endpoints get no new work, and that planned stops interrupt no request.
 
-use crate::support::{binary, eventually, salt, two_data_centres};
+use crate::support::{binary, cache_salt_of, eventually, two_data_centres};
 use spanfold_keyvalue::PlatformVm;
 use spanfold_standin::{Caller, Deployment, EngineRates, expected_answer};
 use std::time::Duration;
@@ -110,7 +110,7 @@
         for (prompt, answer) in calls.join_all().await {
             let answer = answer.unwrap_or_else(|error| panic!("{prompt} at {name}: {error:?}"));
             assert_eq!(answer.status, 200, "{prompt}: {}", answer.text);
-            assert_eq!(answer.text, expected_answer(&salt("small"), "1", &prompt, 100), "{prompt}");
+            assert_eq!(answer.text, expected_answer(&cache_salt_of("small"), "1", &prompt, 100), "{prompt}");
         }
     }
 }
--- a/crates/spanfoldd/tests/promises/support.rs
+++ b/crates/spanfoldd/tests/promises/support.rs
@@ -9,7 +9,7 @@
 }
 
 /// Returns the cache salt of an account of a test deployment.
-pub(crate) fn salt(account: &str) -> String {
+pub(crate) fn cache_salt_of(account: &str) -> String {
     spanfoldd::cache_salt(Deployment::SECRET, account)
 }
 
--- a/crates/spanfoldd/tests/promises/whole_answer.rs
+++ b/crates/spanfoldd/tests/promises/whole_answer.rs
@@ -1,6 +1,6 @@
 //! Tests that every caller receives its whole answer, or an error that it is incomplete.
 
-use crate::support::{binary, salt, two_data_centres};
+use crate::support::{binary, cache_salt_of, two_data_centres};
 use spanfold_standin::{Caller, CallerError, Deployment, DeploymentPlan, EngineRates, expected_answer};
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
     let caller = Caller::new("key-small");
     let answer =
         caller.complete(deployment.caller_address("vm-a1"), "visa-7b", "hello", TOKENS, &[]).await.unwrap();
-    assert_eq!(answer.text, expected_answer(&salt("small"), "1", "hello", TOKENS));
+    assert_eq!(answer.text, expected_answer(&cache_salt_of("small"), "1", "hello", TOKENS));
     assert_eq!(answer.events, TOKENS);
     let started: usize = deployment.engines.values().map(|engine| engine.started_stream_ids().len()).sum();
     assert_eq!(started, 1, "resumed, not run again");
@@ -52,7 +52,7 @@
     let mut plan = slow_plan();
     plan.settings.insert("limits".to_owned(), "stall_ms = 400\n".to_owned());
     let deployment = Deployment::start(plan).await.unwrap();
-    let expected = expected_answer(&salt("small"), "1", "hello", TOKENS);
+    let expected = expected_answer(&cache_salt_of("small"), "1", "hello", TOKENS);
     for fault in ["scramble", "stall"] {
         for engine in deployment.engines.values() {
             if fault == "scramble" {
@@ -82,7 +82,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     deployment.engines[&running_engine(&deployment)].kill();
     let answer = call.await.unwrap().unwrap();
-    assert_eq!(answer.text, expected_answer(&salt("small"), "1", "hello", TOKENS));
+    assert_eq!(answer.text, expected_answer(&cache_salt_of("small"), "1", "hello", TOKENS));
     assert_eq!(answer.events, TOKENS, "each event once");
 }
 
@@ -113,7 +113,7 @@
 async fn a_caller_resumes_at_another_vm() {
     let deployment = Deployment::start(slow_plan()).await.unwrap();
     let caller = Caller::new("key-small");
-    let expected = expected_answer(&salt("small"), "1", "hello", TOKENS);
+    let expected = expected_answer(&cache_salt_of("small"), "1", "hello", TOKENS);
     let first = caller.stream(deployment.caller_address("vm-a1"), &[], body("hello"), Some(7)).await.unwrap();
     for vm in ["vm-a2", "vm-b1"] {
         let headers = [("last-event-id", first.last_event_id.as_str())];
@@ -134,7 +134,7 @@
         caller.stream(deployment.caller_address("vm-a2"), &headers, body("hello"), None).await.unwrap();
     assert_eq!(
         format!("{}{}", first.text, remainder.text),
-        expected_answer(&salt("small"), "1", "hello", TOKENS)
+        expected_answer(&cache_salt_of("small"), "1", "hello", TOKENS)
     );
 }
 
@@ -174,7 +174,8 @@
             let answer =
                 Caller::new("key-small").complete(address, "visa-7b", &prompt, 4, &[]).await.unwrap();
             (
-                answer.status == 200 && answer.text == expected_answer(&salt("small"), "1", &prompt, 4),
+                answer.status == 200
+                    && answer.text == expected_answer(&cache_salt_of("small"), "1", &prompt, 4),
                 answer.text,
             )
         });
@@ -211,7 +212,7 @@
         let prompt = format!("question {number}");
         let answer =
             caller.complete(deployment.caller_address("vm-a1"), "visa-7b", &prompt, 4, &[]).await.unwrap();
-        assert_eq!(answer.text, expected_answer(&salt("small"), "1", &prompt, 4));
+        assert_eq!(answer.text, expected_answer(&cache_salt_of("small"), "1", &prompt, 4));
     }
 }
 
@@ -236,6 +237,6 @@
             .complete(deployment.caller_address("vm-a1"), "visa-7b", &prompt, 4, &headers)
             .await
             .unwrap();
-        assert_eq!(answer.text, expected_answer(&salt("small"), "1", &prompt, 4));
+        assert_eq!(answer.text, expected_answer(&cache_salt_of("small"), "1", &prompt, 4));
     }
 }
--- a/crates/spanfoldd/tests/promises/whole_path.rs
+++ b/crates/spanfoldd/tests/promises/whole_path.rs
@@ -1,6 +1,6 @@
 //! Tests of the whole path through real processes: callers, daemons of two data centres, engines, a store.
 
-use crate::support::{binary, eventually, long_prompt, salt, two_data_centres};
+use crate::support::{binary, cache_salt_of, eventually, long_prompt, two_data_centres};
 use spanfold_standin::{Caller, Deployment, DeploymentPlan, EnginePlan, EngineRates, expected_answer};
 
 #[tokio::test(flavor = "multi_thread")]
@@ -10,7 +10,7 @@
     let deployment = Deployment::start(plan).await.unwrap();
     let caller = Caller::new("key-small");
     let prompt = long_prompt(3, "whole path");
-    let expected = expected_answer(&salt("small"), "1", &prompt, 12);
+    let expected = expected_answer(&cache_salt_of("small"), "1", &prompt, 12);
     for name in names {
         let answer =
             caller.complete(deployment.caller_address(&name), "visa-7b", &prompt, 12, &[]).await.unwrap();
@@ -27,12 +27,12 @@
     let answer = caller.send(address, "POST", "/v1/completions", &[], body).await.unwrap();
     let value: serde_json::Value = serde_json::from_str(&answer.text).unwrap();
     assert_eq!(answer.status, 200, "{}", answer.text);
-    assert_eq!(value["choices"][0]["text"], expected_answer(&salt("small"), "1", "which form?", 5));
+    assert_eq!(value["choices"][0]["text"], expected_answer(&cache_salt_of("small"), "1", "which form?", 5));
     assert_eq!(value["usage"]["completion_tokens"], 5);
     let body = r#"{"model":"visa-7b","messages":[{"role":"user","content":"hi"}],"max_tokens":5}"#;
     let answer = caller.send(address, "POST", "/v1/chat/completions", &[], body).await.unwrap();
     let value: serde_json::Value = serde_json::from_str(&answer.text).unwrap();
-    let expected = expected_answer(&salt("small"), "1", "<|user|>hi\n", 5);
+    let expected = expected_answer(&cache_salt_of("small"), "1", "<|user|>hi\n", 5);
     assert_eq!(value["choices"][0]["message"]["content"], expected);
 }
 
