--- a/crates/kernel/src/message.rs
+++ b/crates/kernel/src/message.rs
@@ -9,7 +9,7 @@
 
 /// A heartbeat of an entry VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct VmHeartbeat {
     /// Differs at each start of the sender.
     pub incarnation: u64,
     /// Whether the sender is stopping.
@@ -25,7 +25,7 @@
 
 /// A request of an entry VM to a cell's home VM for an endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct EndpointRequest {
     /// Number of the request at the requesting VM.
     pub request: u64,
     /// The cell.
@@ -104,7 +104,7 @@
 
 /// A request for a claim, sent to the shard's home VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// The shard.
     pub shard: u32,
     /// The ticket; its deadline is in the sender's clock.
@@ -115,9 +115,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// A heartbeat.
-    Beat(Beat),
+    Beat(VmHeartbeat),
     /// A request for an endpoint.
-    Ask(Ask),
+    Ask(EndpointRequest),
     /// An endpoint granted for a request.
     Grant(Grant),
     /// The home VM has queued the request.
@@ -151,7 +151,7 @@
         requests: Vec<InFlightRow>,
     },
     /// A request for a claim.
-    Claim(ClaimAsk),
+    Claim(ClaimRequest),
     /// The answer to a request for a claim.
     ClaimReply {
         /// Number of the request at the requesting VM.
--- a/crates/policy/src/configuration.rs
+++ b/crates/policy/src/configuration.rs
@@ -1,7 +1,7 @@
 //! Tracks the configuration in force and distributes newer ones.
 //!
 //! Invariant: a VM applies only a generation higher than the one in force. One VM of a data centre
-//! watches the head record. The other VMs learn of the generation by heartbeats and pull what they lack
+//! watches the head record. The other VMs receive its generation by heartbeats and pull what they lack
 //! from the sender, so that the number of platform calls grows with data centres, not with VMs. A
 //! platform that returns an older head than the one in force has lost data; the newer head is written
 //! back to it.
@@ -119,7 +119,7 @@
                 self.next_head_pull_at = context.now.after_millis(PULL_RETRY_DELAY_MILLIS);
                 context.send(from, Message::HeadPull);
             }
-            // The source may be gone; any VM that has the generation in force has its chunks.
+            // The source may have become unreachable; any VM that has the generation in force has its chunks.
             Message::Beat(beat) => self.offer_source(beat.generation, Some(from)),
             Message::HeadPull if context.world.generation > 0 => {
                 let generation = context.world.generation;
@@ -280,7 +280,7 @@
     }
     for endpoint in catalogue.declarations.endpoints.values() {
         let index = world.endpoint_names.intern(&endpoint.name);
-        let row = world.endpoints.at_or_default(index);
+        let row = world.endpoints.get_or_insert_default(index);
         row.declared = true;
         row.draining = endpoint.draining;
         endpoint.data_centre.clone_into(&mut row.data_centre);
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -63,13 +63,13 @@
             let role = self.layout.cell_of(name).unwrap_or(name);
             let centre =
                 if self.layout.cell_of(name).is_some() { &row.data_centre } else { &world.data_centre };
-            if world.holder(role, centre, context.now) == Some(&world.me) {
-                due_probes.push((index, name.to_owned(), row.takes_work(context.now)));
+            if world.role_holder(role, centre, context.now) == Some(&world.own_name) {
+                due_probes.push((index, name.to_owned(), row.accepts_work(context.now)));
             }
         }
-        for (index, endpoint, takes_work) in due_probes {
+        for (index, endpoint, accepts_work) in due_probes {
             let interval_millis =
-                if takes_work { PROBE_INTERVAL_MILLIS } else { RECOVERY_PROBE_INTERVAL_MILLIS };
+                if accepts_work { PROBE_INTERVAL_MILLIS } else { RECOVERY_PROBE_INTERVAL_MILLIS };
             self.next_probe_at.insert(index, context.now.after_millis(interval_millis));
             context.emit(Effect::Probe { endpoint });
         }
@@ -80,7 +80,7 @@
     for vm in vms.iter().filter(|vm| vm.role == VmRole::Endpoint) {
         let Some(index) = world.endpoint_names.find(&vm.name) else { continue };
         // The list lags, so a `Live` row withdraws only a departure that the list itself reported.
-        world.endpoints[index].list_leaving = vm.state == VmState::Leaving;
+        world.endpoints[index].listed_departing = vm.state == VmState::Leaving;
     }
 }
 
@@ -90,7 +90,7 @@
     match ready {
         Some(true) => {
             let row = &mut context.world.endpoints[index];
-            row.self_leaving = false;
+            row.reported_departing = false;
             row.running = running;
             row.waiting = waiting;
             if context.now >= row.ejected_until {
@@ -98,8 +98,8 @@
             }
         }
         Some(false) => {
-            if !context.world.endpoints[index].self_leaving {
-                context.world.endpoints[index].self_leaving = true;
+            if !context.world.endpoints[index].reported_departing {
+                context.world.endpoints[index].reported_departing = true;
                 context.log("endpoint.leaving", endpoint);
             }
         }
--- a/crates/spanfold/src/declare.rs
+++ b/crates/spanfold/src/declare.rs
@@ -178,13 +178,13 @@
     expected: u64,
     author: &str,
 ) -> Result<ConfigurationHead, AcceptError> {
-    let bundle = Bundle::cut(document);
+    let bundle = Bundle::split(document);
     let nonce = format!("{:032x}", rand::random::<u128>());
     accept_bundle(client, expected, &bundle.digests, &bundle.chunks, author, &nonce).await
 }
 
 fn accept_failure(error: &AcceptError) -> CommandOutcome {
-    let code = if matches!(error, AcceptError::Lost { .. }) { EXIT_CONFLICT } else { EXIT_UNREACHABLE };
+    let code = if matches!(error, AcceptError::Conflict { .. }) { EXIT_CONFLICT } else { EXIT_UNREACHABLE };
     CommandOutcome::failure(code, error.to_string())
 }
 
@@ -234,7 +234,7 @@
         }
         match accept(&client, &document, head.generation, author).await {
             Ok(head) => return CommandOutcome::success(format!("generation {} accepted", head.generation)),
-            Err(AcceptError::Lost { .. }) => {}
+            Err(AcceptError::Conflict { .. }) => {}
             Err(error) => return accept_failure(&error),
         }
     }
--- a/crates/spanfoldd/tests/promises/leaving.rs
+++ b/crates/spanfoldd/tests/promises/leaving.rs
@@ -1,11 +1,11 @@
 //! Tests that departing endpoints get no new work, and that planned stops interrupt no request.
 
-use crate::support::{binary, eventually, salt, two_data_centres};
+use crate::support::{binary, cache_salt_of, eventually, two_data_centres};
 use spanfold_keyvalue::PlatformVm;
 use spanfold_standin::{Caller, Deployment, EngineRates, expected_answer};
 use std::time::Duration;
 
-async fn takes_work(deployment: &Deployment, endpoint: &str) -> bool {
+async fn accepts_work(deployment: &Deployment, endpoint: &str) -> bool {
     // The home of the endpoint's cell is the VM that places requests at it.
     for vm in ["vm-a1", "vm-a2"] {
         let status = deployment.status(vm).await;
@@ -24,15 +24,15 @@
 
 /// Asserts that engine-a1 gets no new work once its departure is recorded, while other engines serve.
 async fn assert_no_new_work(deployment: &Deployment) {
-    eventually("the departure is recorded", || async { !takes_work(deployment, "engine-a1").await }).await;
-    let before = deployment.engines["engine-a1"].started().len();
+    eventually("the departure is recorded", || async { !accepts_work(deployment, "engine-a1").await }).await;
+    let before = deployment.engines["engine-a1"].started_stream_ids().len();
     for number in 0..12 {
         let prompt = format!("after the departure {number}");
-        let address = deployment.callers(if number % 2 == 0 { "vm-a1" } else { "vm-a2" });
+        let address = deployment.caller_address(if number % 2 == 0 { "vm-a1" } else { "vm-a2" });
         let answer = Caller::new("key-small").complete(address, "visa-7b", &prompt, 2, &[]).await.unwrap();
         assert_eq!(answer.status, 200, "{}", answer.text);
     }
-    assert_eq!(deployment.engines["engine-a1"].started().len(), before);
+    assert_eq!(deployment.engines["engine-a1"].started_stream_ids().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -80,7 +80,7 @@
     deployment.engines["engine-a1"].faults().announce_departure(true);
     assert_no_new_work(&deployment).await;
     deployment.engines["engine-a1"].faults().announce_departure(false);
-    eventually("engine-a1 takes work", || async { takes_work(&deployment, "engine-a1").await }).await;
+    eventually("engine-a1 takes work", || async { accepts_work(&deployment, "engine-a1").await }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -96,7 +96,7 @@
         let replacement = format!("vm-n{number}");
         deployment.start_vm(&replacement, centre).await.unwrap();
         deployment.wait_ready().await.unwrap();
-        let address = deployment.callers(name);
+        let address = deployment.caller_address(name);
         let mut calls = tokio::task::JoinSet::new();
         for call in 0..10 {
             calls.spawn(async move {
@@ -110,7 +110,7 @@
         for (prompt, answer) in calls.join_all().await {
             let answer = answer.unwrap_or_else(|error| panic!("{prompt} at {name}: {error:?}"));
             assert_eq!(answer.status, 200, "{prompt}: {}", answer.text);
-            assert_eq!(answer.text, expected_answer(&salt("small"), "1", &prompt, 100), "{prompt}");
+            assert_eq!(answer.text, expected_answer(&cache_salt_of("small"), "1", &prompt, 100), "{prompt}");
         }
     }
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -10,7 +10,7 @@
 };
 use crate::priority_gate::PriorityGate;
 use crate::server::{StandinBody, query_number, read_body, reply, reply_json, serve};
-use crate::{FaultSwitch, PIECE_BYTES};
+use crate::{BLOCK_BYTES, FaultSwitch};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, StreamBody};
 use hyper::body::{Frame, Incoming};
@@ -43,7 +43,7 @@
     /// Microseconds between generated tokens.
     pub decode_micros: u64,
     /// Number of blocks that fit into accelerator memory.
-    pub memory_pieces: usize,
+    pub memory_blocks: usize,
     /// Number of requests that run at once.
     pub slots: u32,
     /// Milliseconds until a cache event becomes readable.
@@ -52,7 +52,7 @@
 
 impl Default for EngineRates {
     fn default() -> Self {
-        Self { prefill_micros: 20, decode_micros: 1_000, memory_pieces: 64, slots: 8, event_lag_millis: 50 }
+        Self { prefill_micros: 20, decode_micros: 1_000, memory_blocks: 64, slots: 8, event_lag_millis: 50 }
     }
 }
 
@@ -189,7 +189,7 @@
     }
 
     /// Returns the stream ids of all runs, in the order of their start.
-    pub fn started(&self) -> Vec<String> {
+    pub fn started_stream_ids(&self) -> Vec<String> {
         lock(&self.state.started_stream_ids).clone()
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// Evicts all blocks, as prolonged other work would; publishes no cache events if `without_events`.
-    pub fn forget(&self, without_events: bool) {
+    pub fn evict_all(&self, without_events: bool) {
         let mut memory = lock(&self.state.memory);
         let keys: Vec<String> = memory.blocks.drain().map(|(key, _)| key).collect();
         if !without_events {
@@ -210,7 +210,7 @@
     }
 
     /// Sets the time that each ordered load of weights takes.
-    pub fn load_for(&self, millis: u64) {
+    pub fn set_load_millis(&self, millis: u64) {
         self.state.load_millis.store(millis, Ordering::SeqCst);
     }
 
@@ -225,7 +225,7 @@
     }
 
     /// Replaces the loaded weight version at once.
-    pub fn load_version(&self, version: &str) {
+    pub fn set_version(&self, version: &str) {
         version.clone_into(&mut lock(&self.state.version));
     }
 
@@ -419,8 +419,8 @@
         usage.import_micros = started_at.elapsed().as_micros() as u64;
     }
     let (mut none_missing, mut none_computed) = (true, true);
-    for (index, block) in run_request.prompt.as_bytes().chunks(PIECE_BYTES).enumerate() {
-        let key = keys.get(index).filter(|_| block.len() == PIECE_BYTES);
+    for (index, block) in run_request.prompt.as_bytes().chunks(BLOCK_BYTES).enumerate() {
+        let key = keys.get(index).filter(|_| block.len() == BLOCK_BYTES);
         let cached = key.filter(|_| none_missing).and_then(|key| find_block(state, key));
         let fetched = key.filter(|_| none_missing).and_then(|key| imported.get(key).copied());
         if let Some(cached) = cached {
