--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -132,8 +132,8 @@
     /// The history that a watch needs has been discarded: a new listing is required.
     #[error("the store has discarded the requested history")]
     HistoryGone,
-    /// The lease has expired.
-    #[error("the lease has expired")]
+    /// The lease has ended: it expired, was revoked, or is unknown to the store.
+    #[error("the lease has ended")]
     LeaseGone,
     /// A condition does not hold; contains the current items of the condition's keys.
     #[error("a condition of the transaction does not hold")]
@@ -199,7 +199,9 @@
     pub decode_renew: StoreDecoder<u64>,
 }
 
-/// Order to an engine to load a weight version.
+/// Order to an engine: the weight version that it should reach.
+///
+/// Repeating an order is harmless: an engine that has the version already answers `AlreadyLoaded`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightOrder {
     /// The model.
--- a/crates/gateway/src/endpoints/crash_detector.rs
+++ b/crates/gateway/src/endpoints/crash_detector.rs
@@ -136,7 +136,7 @@
         suspicion.probed.send_replace(true);
     }
 
-    /// Records that `started` begins at an address, so that any other endpoint there has crashed.
+    /// Records that `started` begins at an address: another endpoint with broken sends there has crashed.
     pub(crate) fn record_started_at(&self, address: SocketAddr, started: EndpointKey) {
         for endpoint in
             self.crash_detector.endpoints_at(address).into_iter().filter(|endpoint| *endpoint != started)
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -29,8 +29,10 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// Retention of vanished entries after a failed call to the store, in milliseconds:
-/// entries that expired while the store was failing must return within two seconds after that.
+/// Vanished entries are retained until this long after the last failed call to the store, in milliseconds.
+///
+/// The users require that entries that expired while the store was failing return within two seconds after
+/// it works again.
 const ENTRY_GRACE_MILLIS: u64 = 2_300;
 /// Time after a failed call for which the store counts as failing, in milliseconds: if only some calls fail,
 /// this VM's next failure may come late.
--- a/crates/gateway/src/operators/gateway_metrics.rs
+++ b/crates/gateway/src/operators/gateway_metrics.rs
@@ -153,7 +153,7 @@
     pub turned_away: Counter,
     /// Requests that are quarantined now.
     pub held_requests: Gauge,
-    /// Limits that endpoints reported in answers, by kind of report.
+    /// Limits that endpoints reported in answers, by kind of report; `told`: in answers to another VM.
     pub limit_reports: Family<KindLabel, Counter>,
     /// Departures of endpoints, by source of the announcement.
     pub departures: Family<KindLabel, Counter>,
--- a/crates/gateway/src/peers/cache_digest.rs
+++ b/crates/gateway/src/peers/cache_digest.rs
@@ -33,7 +33,7 @@
 /// A digest is valid for this long, in milliseconds: several intervals between digests.
 const REPORT_LIFETIME_MILLIS: u64 = 1_500;
 
-/// Changes of all stores' cache indexes.
+/// Contents of all stores' cache indexes: changes, and the full indexes in turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CacheDigest {
     /// The engines' clock, in milliseconds, if it is known.
--- a/crates/gateway/src/peers/peer_message.rs
+++ b/crates/gateway/src/peers/peer_message.rs
@@ -39,7 +39,7 @@
     Store(PeerStamp, StoreUpdates),
     /// Requests the changes in the platform's store after this position.
     StoreAsk(PeerStamp, StorePosition),
-    /// Changes of the cache stores' indexes.
+    /// Digest of the cache stores' indexes: changes, and the full indexes in turn.
     Kept(PeerStamp, CacheDigest),
 }
 
--- a/crates/gateway/src/requests/request_context.rs
+++ b/crates/gateway/src/requests/request_context.rs
@@ -1,7 +1,7 @@
 //! The parsed head of a request: route, account, deadline, prompt.
 //!
-//! Invariant: no header beyond this module affects an endpoint except those that a caller may set; headers
-//! that only the system sets are removed.
+//! Invariant: beyond this module, nothing in a caller's head affects an endpoint except the headers that a
+//! caller may set; headers that only the system sets are removed.
 
 use crate::gateway::Gateway;
 use crate::pick_target;
--- a/crates/gateway/src/requests/request_run.rs
+++ b/crates/gateway/src/requests/request_run.rs
@@ -36,7 +36,7 @@
     pub disconnect: Arc<Notify>,
 }
 
-/// One request in progress, with the endpoints that it was sent to.
+/// One request in progress, with the endpoints that were tried for it.
 #[derive(Debug)]
 pub(crate) struct RequestRun {
     pub gateway: Arc<Gateway>,
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -71,7 +71,8 @@
 /// Changes that are lacking for this long, in milliseconds, are logged; they should have been fetched by
 /// then.
 const LAG_LOG_DELAY_MILLIS: u64 = 1_000;
-/// The leader may change at any moment; its rank is checked again after this long, in milliseconds.
+/// The leader may change at any moment: this VM checks its own leader rank again after this long, in
+/// milliseconds.
 const ROLE_POLL_INTERVAL_MILLIS: u64 = 100;
 
 /// Message of another VM about the store.
