--- a/crates/policy/examples/kernel_cost.rs
+++ b/crates/policy/examples/kernel_cost.rs
@@ -111,9 +111,7 @@
 }
 
 fn main() {
-    println!(
-        "-- one request: arrival, placement, grant, first token, end; prompt of {BLOCKS_PER_PROMPT} blocks"
-    );
+    println!("-- one request: arrive, ask, grant, first token, end; prompt of {BLOCKS_PER_PROMPT} pieces");
     for (engines, accounts) in
         [(10, 10), (100, 10), (324, 10), (500, 10), (13, 1_000), (13, 24_000), (324, 24_000)]
     {
@@ -121,7 +119,7 @@
         let (request, tick) = request_cost(&mut kernel, accounts);
         println!("    request {request:>6.2} us, tick {tick:>7.2} us");
     }
-    println!("-- stored blocks indexed at one home");
+    println!("-- kept pieces indexed at one home");
     for block_count in [100_u64, 2_000, 20_000, 110_000, 880_000] {
         let (mut kernel, _) = start_kernel(13, 10);
         kernel.step(Moment(500_000), Event::Tick);
@@ -141,7 +139,7 @@
         let bytes = resident_bytes().saturating_sub(before);
         let (request, _) = request_cost(&mut kernel, 10);
         println!(
-            "    {block_count:>7} blocks: indexed in {:>7.1} ms, {:>6.2} MB, request {request:>6.2} us",
+            "    {block_count:>7} pieces: indexed in {:>7.1} ms, {:>6.2} MB, request {request:>6.2} us",
             elapsed.as_secs_f64() * 1e3,
             bytes as f64 / 1e6
         );
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -183,7 +183,8 @@
     /// Applies the first verdict on an attempt; later ones match no pending claim.
     ///
     /// Only the requester releases a claim, and only once it has answered that the attempt did not run:
-    /// a home cannot determine whether another VM bypassed it and claimed the key with the same nonce.
+    /// a home cannot determine whether the requester has bypassed it meanwhile and claimed the key itself,
+    /// with the same nonce.
     fn apply_verdict(&mut self, context: &mut Context<'_>, request: u64, verdict: &ClaimVerdict) {
         let Some(claim) = self.remote_claims.remove(&request) else { return };
         let late = *verdict == ClaimVerdict::Claimed && context.now >= claim.ticket.deadline;
--- a/crates/policy/src/fair_queue.rs
+++ b/crates/policy/src/fair_queue.rs
@@ -1,10 +1,10 @@
 //! Start-time fair queueing over client accounts.
 //!
 //! Invariant: among accounts that always have waiting items, work is taken in proportion to their
-//! weights, and an account that was idle gains no credit from the idle time. Deficit round robin does
-//! not fit because a request's cost is known only when it is placed; token buckets do not fit because
-//! unused share must be lent. The queue is work-conserving, and lent share is returned at the next
-//! choice.
+//! weights. An account that was idle gains no credit from the idle time, and keeps the charge of its
+//! last work until virtual time has passed it. Deficit round robin does not fit because a request's
+//! cost is known only when it is placed; token buckets do not fit because unused share must be lent.
+//! The queue is work-conserving, and lent share is returned at the next choice.
 
 use spanfold_entity::Moment;
 use spanfold_kernel::AccountIndex;
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,9 +1,10 @@
 //! Decides which endpoints take new work.
 //!
 //! Invariant: an endpoint gets no new work from the earliest sign of departure or failure on (the VM
-//! list, its own readiness, refused connections, the operator's declaration), and only a positive sign
-//! of life withdraws such a sign. A failure ejects an endpoint for a time that doubles with each
-//! further failure; after that time, a probe that finds it ready resets its failure count.
+//! list, its own readiness, refused connections, the operator's declaration). A failure ejects an
+//! endpoint for a time that doubles with each further failure; when that time is over it takes work
+//! again, and a probe that then finds it ready resets its failure count. A sign of departure is
+//! withdrawn only by its own source: the list, the endpoint's readiness, the declaration.
 
 use crate::layout::CellLayout;
 use spanfold_entity::{EntityIndex, Moment};
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -167,7 +167,8 @@
 
 /// Places the request where importing or recomputing gives the best score.
 ///
-/// Waits for a busy endpoint if that scores best.
+/// The score is the estimated time of the first token, to which the prefill is added with
+/// [`PREFILL_WEIGHT`]; the lowest one is best. Waits for a busy endpoint if that scores best.
 fn place_earliest(input: &PlacementInput<'_>) -> Option<PlacementDecision> {
     let best = (0..input.candidates.len()).flat_map(|index| placement_options(input, index)).min_by(
         |left, right| score(left).total_cmp(&score(right)).then(left.candidate.cmp(&right.candidate)),
