--- a/crates/kernel/src/event.rs
+++ b/crates/kernel/src/event.rs
@@ -244,7 +244,8 @@
     },
     /// Chunks were read from the platform.
     ChunksRead {
-        /// Their texts; each chunk is named by its digest. Empty when all reads are done.
+        /// Their texts; each chunk is named by its digest. Empty when a read has ended, whether or not it
+        /// returned all chunks.
         texts: Vec<Arc<str>>,
     },
     /// A generation of the configuration was parsed and checked.
--- a/crates/kernel/src/world.rs
+++ b/crates/kernel/src/world.rs
@@ -175,7 +175,9 @@
 
     /// Whether the VM at `index` may hold roles at `now`.
     ///
-    /// Heartbeats are sent only within a data centre; for VMs of another one, the VM list decides.
+    /// Each VM gets heartbeats from all VMs of its own data centre. From another one, only the holder of
+    /// the `gateway` role sends them, and only to the holder here. For VMs of another data centre the VM
+    /// list therefore decides.
     pub fn is_live(&self, index: VmIndex, now: Moment) -> bool {
         let row = &self.vms[index];
         if self.vm_names.name(index) == self.own_name {
