--- a/crates/spanfold/src/explain.rs
+++ b/crates/spanfold/src/explain.rs
@@ -2,7 +2,9 @@
 //!
 //! Invariant: lines are printed in the order of their times, each with its VM. Besides the request's
 //! own lines these are:
-//! - events shortly before at its VMs that concern endpoints, the store, the configuration or the weights;
+//! - events at its VMs in the 15 s before its last line: those of `ENDPOINT_STATE_EVENTS` at any endpoint,
+//!   all that name no request and concern an endpoint that it used, and those about the store, the
+//!   configuration or the weights (`VM_STATE_EVENTS`);
 //! - quarantine events of all VMs for requests with the same digest.
 //!
 //! Lines that are not JSON are skipped and counted.
@@ -33,7 +35,7 @@
     ["endpoint.leaving", "endpoint.resting", "limit.ended", "limit.named", "answer.odd"];
 /// Prefix of the events about requests under which endpoints crash.
 const QUARANTINE_EVENT_PREFIX: &str = "quarantine.";
-/// Fields that every line has; they are not printed as `key=value`.
+/// Fields that every line has; not printed as `key=value`, except `request` on a line of another request.
 const COMMON_FIELDS: [&str; 4] = ["time_ms", "level", "event", "request"];
 
 /// Reports the history of `request` from log files.
