--- a/crates/spanfoldd/src/caller/completion.rs
+++ b/crates/spanfoldd/src/caller/completion.rs
@@ -165,9 +165,7 @@
         .map_err(|error| CallError::NotSent(error.to_string()))?;
     let Some(answer) = wait_for_answer(shared, call, &address, request).await else {
         cancel(shared, location).await;
-        return Err(CallError::Unknown(
-            "no first token by the deadline, or the liveness probe failed".to_owned(),
-        ));
+        return Err(CallError::Unknown("no first token in time".to_owned()));
     };
     let response = answer?;
     match response.status().as_u16() {
@@ -180,7 +178,7 @@
     Ok(StartedRun { location: location.clone(), reader: FrameReader::new(response.into_body()), usage })
 }
 
-/// Waits for the engine's answer until the deadline, as long as liveness probes succeed.
+/// Waits for the head of the engine's answer until the first token's deadline.
 ///
 /// A healthy engine sends nothing for seconds during the prefill of a long prompt, just as a frozen
 /// one does. After each stall timeout without an answer the engine is therefore probed; a failed
