--- a/crates/decide/src/admit/admission.rs
+++ b/crates/decide/src/admit/admission.rs
@@ -17,7 +17,8 @@
 /// Fraction of an engine's memory that in-time prompts of the highest priority may fill. It exceeds one
 /// because shared segments are counted for each prompt but stored once.
 const MAX_MEMORY_FRACTION: f64 = 1.15;
-/// Reduction of this fraction per priority level. It leaves the last free memory to more urgent prompts.
+/// Reduction of [`MAX_MEMORY_FRACTION`] per priority level. It leaves the last free memory to more urgent
+/// prompts.
 const PRIORITY_MEMORY_FRACTION: f64 = 0.05;
 /// Memory fraction that any in-time prompt may fill, whatever its priority.
 const MIN_MEMORY_FRACTION: f64 = 1.0;
@@ -36,13 +37,13 @@
 /// a few runs.
 const RETURN_DELAY_MILLIS: u64 = 300;
 
-/// Number of VMs at which a waiting prompt claims free capacity at every second poll.
+/// Number of VMs at which a waiting prompt claims free capacity with a probability of one half at each poll.
 const HALF_PROBABILITY_VMS: f64 = 5.0;
 
 /// Returns the probability with which a waiting prompt claims free capacity at a poll.
 ///
-/// Many VMs with waiting prompts receive an engine's free memory at the same time, and all would send it their
-/// prompts. Each of the `vms` VMs makes a random draw with this probability instead.
+/// Many VMs with waiting prompts receive the report of an engine's free memory at the same time, and all would
+/// send it their prompts. Each of the `vms` VMs makes a random draw with this probability instead.
 ///
 /// # Examples
 /// ```
--- a/crates/decide/src/admit/shared_rate.rs
+++ b/crates/decide/src/admit/shared_rate.rs
@@ -20,9 +20,10 @@
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Maximum number of VMs that send to one cold endpoint. A VM with a wrong list adds one of this many shares.
+/// Maximum number of VMs that send to one cold endpoint. The allowed rate is divided among this many senders,
+/// so a VM with a wrong list adds only one share.
 const MAX_COLD_SENDERS: usize = 5;
-/// Fraction of the operator's allowance for a cold endpoint that is used: one more set of senders would not
+/// Fraction of the operator's allowance for a cold endpoint that is used: a second set of senders would not
 /// exceed the allowance.
 const COLD_USABLE_FRACTION: f64 = 0.5;
 /// Extension of each window beyond its computed length, in milliseconds: requests differ in transit time.
--- a/crates/decide/src/fleet/reported_health.rs
+++ b/crates/decide/src/fleet/reported_health.rs
@@ -1,14 +1,14 @@
 //! Health of an endpoint as other VMs report it.
 //!
 //! The more VMs there are, the fewer requests each of them sends to one endpoint: with 295 VMs and 256
-//! engines, one a minute. A VM that used only its own sends would lose a request at each engine that became
-//! unreachable, slow or faulty, long after other VMs detected it. VMs therefore report the outcomes of their
-//! sends to one another.
+//! engines, one a minute. A VM that relied only on the outcomes of its own sends would lose a
+//! request at each engine that became unreachable, slow or faulty, long after other VMs detected it. VMs
+//! therefore report the outcomes of their sends to one another.
 //!
 //! Invariant: the report of a single VM never excludes an endpoint, since that VM may be cut off or frozen
-//! itself. Reports of two VMs that could not reach it do, if no VM received an answer from it in between.
-//! When the avoidance expires, VMs retry one after the other instead of all at once, and the first answer to
-//! any of them ends it for all.
+//! itself. Reports of two VMs that could not reach the endpoint do, if no VM received an answer from it in
+//! between. When the avoidance expires, VMs retry one after the other instead of all at once, and the first
+//! answer to any of them ends it for all.
 //!
 //! A backoff that an endpoint asks for applies to the VM that was asked. If two VMs were asked, the endpoint
 //! is overloaded rather than selective, and the other VMs avoid it too while they have an alternative. With
@@ -42,7 +42,7 @@
 /// Health of one endpoint as other VMs report it.
 #[derive(Debug, Default)]
 pub(crate) struct ReportedHealth {
-    /// Last VM that could not reach it, and when it reported so; none since an answer.
+    /// Last VM that could not reach the endpoint, and the time of its report; none since an answer.
     unreachable_from: Option<(VmKey, Moment)>,
     /// Last VM that was asked for a backoff, and the end of that backoff.
     requested_backoff: Option<(VmKey, Moment)>,
@@ -53,22 +53,22 @@
 }
 
 impl ReportedHealth {
-    /// Whether it is skipped because of other VMs' reports.
+    /// Whether the endpoint is skipped because of other VMs' reports.
     pub(crate) fn is_avoided(&self, now: Moment) -> bool {
         now < self.avoided_until
     }
 
-    /// Whether it was avoided, and no VM has received an answer from it since.
+    /// Whether the endpoint was avoided, and no VM has received an answer from it since.
     pub(crate) const fn is_suspected(&self) -> bool {
         self.avoidances > 0
     }
 
-    /// Records that a VM received an answer from it.
+    /// Records that a VM received an answer from the endpoint.
     pub(crate) fn record_answer(&mut self) {
         *self = Self::default();
     }
 
-    /// Records that the VM `reporter` could not reach it.
+    /// Records that the VM `reporter` could not reach the endpoint.
     ///
     /// `slot` is a fresh random draw of this VM's position among all VMs that may retry next.
     pub(crate) fn record_unreachable(&mut self, reporter: VmKey, slot: f64, now: Moment) {
@@ -88,7 +88,9 @@
         }
     }
 
-    /// Records that it asked the VM `reporter` for a backoff of `millis`; `slot` as in `record_unreachable`.
+    /// Records that the endpoint asked the VM `reporter` for a backoff of `millis`.
+    ///
+    /// `slot` is as in `record_unreachable`.
     pub(crate) fn record_requested_backoff(&mut self, reporter: VmKey, millis: u64, slot: f64, now: Moment) {
         let until = now.after_millis(millis.min(MAX_REQUESTED_AVOIDANCE_MILLIS));
         let Some((previous, previous_until)) = self.requested_backoff.replace((reporter, until)) else {
@@ -103,7 +105,7 @@
         self.avoidance_began_at = now;
     }
 
-    /// Begins an avoidance, or extends one after which another VM could not reach it either.
+    /// Begins an avoidance, or extends one if a VM could not reach the endpoint since the avoidance began.
     fn avoid(&mut self, slot: f64, now: Moment) {
         let millis = (FIRST_AVOIDANCE_MILLIS << self.avoidances.min(4)).min(MAX_AVOIDANCE_MILLIS);
         self.avoided_until = now.after_millis(millis + (slot * SLOT_MILLIS) as u64);
--- a/crates/decide/src/fleet/reported_limit.rs
+++ b/crates/decide/src/fleet/reported_limit.rs
@@ -1,4 +1,4 @@
-//! Reported limit of an endpoint: requests a second that it takes from all VMs together.
+//! Reported limit of an endpoint: requests a second that it accepts from all VMs together.
 //!
 //! An overloaded endpoint states a limit in each answer while the limit is in force. Another value replaces
 //! it, and an answer without one ends it. Answers reach many VMs over many connections, so reports arrive out
--- a/crates/decide/src/fleet/update_history.rs
+++ b/crates/decide/src/fleet/update_history.rs
@@ -6,9 +6,9 @@
 use spanfold_entity::Moment;
 use std::collections::VecDeque;
 
-/// Updates are retained for this long, in milliseconds.
+/// Retention of updates, in milliseconds.
 ///
-/// This is several times what a VM needs to detect a gap.
+/// This is several times the time that a VM needs to detect a gap.
 const RETENTION_MILLIS: u64 = 15_000;
 /// Maximum number of retained steps.
 const MAX_STEPS: usize = 256;
--- a/crates/decide/src/kept/cache_report.rs
+++ b/crates/decide/src/kept/cache_report.rs
@@ -10,8 +10,8 @@
     pub store: EndpointKey,
     /// Incarnation that the segments belong to.
     pub incarnation: u64,
-    /// Tokens that it stores.
+    /// Number of tokens that the store contains.
     pub used_tokens: u64,
-    /// Salted keys of segments, with the tokens of each that are stored from now on.
+    /// Salted keys of segments, each with its number of stored tokens; zero if the segment was removed.
     pub parts: Vec<(u64, u32)>,
 }
--- a/crates/decide/src/kept/cached_segments.rs
+++ b/crates/decide/src/kept/cached_segments.rs
@@ -20,7 +20,7 @@
 }
 
 impl CachedSegments {
-    /// Returns the number of leading `segments` estimated to be cached under the salt with the digest `salt`.
+    /// Returns the number of leading `segments` estimated to be cached under the cache salt with digest `salt`.
     ///
     /// # Examples
     /// ```
--- a/crates/decide/src/kept/store_row.rs
+++ b/crates/decide/src/kept/store_row.rs
@@ -15,7 +15,7 @@
 const SPARE_FRACTION: f64 = 0.03;
 /// Documented factor for the time of transfers between data centres.
 const CROSS_DATA_CENTRE_FACTOR: f64 = 2.0;
-/// Maximum number of changes that wait for propagation; full indexes make up for those beyond it.
+/// Maximum number of changes that wait for propagation; those beyond it are propagated with the full index.
 const MAX_UNREPORTED: usize = 1_024;
 /// Weight of the newest sample of the link's slowdown.
 const SLOWDOWN_WEIGHT: f64 = 0.3;
@@ -27,12 +27,12 @@
 /// Maximum slowdown, as a multiple of the nominal transfer time.
 const MAX_SLOWDOWN: f64 = 12.0;
 
-/// Report of another VM on a store's link.
+/// Report of another VM or data centre on a store's link.
 #[derive(Clone, Copy, Debug)]
 struct PeerTransfers {
-    /// When the transfers that it requested end.
+    /// When the transfers that the reporter requested end.
     end_at: Moment,
-    /// Slowdown that its recent transfers have shown, if any, and until when that is valid.
+    /// Slowdown that the reporter's recent transfers have shown, if any, and until when that is valid.
     slowdown: Option<f64>,
     slowdown_deadline: Moment,
 }
@@ -65,7 +65,7 @@
     reachable_until: Moment,
     /// When the transfers that this VM requested end.
     own_transfers_end_at: Moment,
-    /// The same for other VMs, by their reports.
+    /// Transfers that other VMs and data centres reported.
     peers: HashMap<LoadSource, PeerTransfers>,
     slowdown: f64,
     /// When a transfer last showed the slowdown; zero if none has yet.
@@ -207,7 +207,7 @@
         used as f64 <= self.spec.tokens as f64 * (1.0 - SPARE_FRACTION)
     }
 
-    /// Records that a segment is being sent there for a request of this VM.
+    /// Records that a segment is being sent to the store for a request of this VM.
     pub fn record_request(&mut self, key: u64, tokens: u32, now: Moment) {
         self.record_pending(
             key,
@@ -215,8 +215,8 @@
         );
     }
 
-    /// Records that a segment is being sent there for a request of another VM: it takes space, but this VM
-    /// cannot determine whether the engine there needed to send it.
+    /// Records that a segment is being sent to the store for a request of another VM: it takes space, but this
+    /// VM cannot determine whether the engine needed to send it.
     pub fn record_remote_request(&mut self, key: u64, tokens: u32, now: Moment) {
         if !self.pending_saves.get(&key).is_some_and(|save| save.is_own) {
             self.record_pending(
@@ -233,7 +233,7 @@
         self.pending_tokens += u64::from(save.tokens);
     }
 
-    /// Discards segments that were sent and never reported.
+    /// Discards segments that were sent and not reported in time, and lets the link's slowdown decay.
     pub fn sweep(&mut self, now: Moment) {
         let mut lost = 0;
         self.pending_saves.retain(|_, save| {
@@ -308,7 +308,7 @@
         )
     }
 
-    /// Returns the same for the VMs of other data centres, by the reports of their leaders.
+    /// Returns the same as `transfers_of` for the VMs of other data centres, as their leaders report it.
     pub fn remote_transfers(&self, now: Moment) -> (u64, Option<f64>) {
         let counted = self.transfers_where(|source| matches!(source, LoadSource::DataCentre(_)));
         let micros = counted.iter().map(|transfers| transfers.end_at.micros_since(now)).sum();
--- a/crates/decide/src/quarantine/crash_history.rs
+++ b/crates/decide/src/quarantine/crash_history.rs
@@ -6,7 +6,7 @@
 //!
 //! Invariant: a request is found fatal only if
 //! - at least [`MIN_CRASHES_PER_VERDICT`] endpoints crashed under it, each time another start of an endpoint;
-//! - no endpoint has completed it since: one that did clears it;
+//! - no endpoint has completed it since: a completion discards the evidence;
 //! - at each of these crashes no other request was running under which more endpoints crashed, since a crash
 //!   has one cause;
 //! - together the crashes are too unlikely to be unrelated to it. An unrelated request that an endpoint has
@@ -36,7 +36,7 @@
 /// Minimum log odds against a request on probation: one crash suffices if its probability is below one in
 /// 200.
 const MIN_PROBATION_LOG_ODDS: f64 = 5.3;
-/// Number of crashes from which on a tie is resolved. Among requests with equally many crashes the youngest
+/// Minimum number of crashes at which a tie is resolved. Among requests with equally many crashes the youngest
 /// is then taken as the cause: requests that were first sent again together no longer run at the same
 /// endpoints by that time.
 const MIN_TIED_CRASHES: usize = 4;
--- a/crates/decide/src/quarantine/endpoint_crash.rs
+++ b/crates/decide/src/quarantine/endpoint_crash.rs
@@ -3,7 +3,7 @@
 use crate::{EndpointKey, RequestKey};
 use spanfold_entity::Moment;
 
-/// Endpoint that stopped without having announced it.
+/// Crash of an endpoint: a stop that it had not announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointCrash {
     /// Identifies one start of the endpoint.
@@ -14,7 +14,7 @@
     pub service: u64,
     /// Number of endpoints of the service at that time, including this one.
     pub service_size: u32,
-    /// When it crashed.
+    /// When the endpoint crashed.
     pub at: Moment,
 }
 
--- a/crates/decide/src/quarantine/request_quarantine.rs
+++ b/crates/decide/src/quarantine/request_quarantine.rs
@@ -1,7 +1,7 @@
 //! Decides which requests are quarantined, from evidence of this VM and of others.
 //!
-//! Invariant: all VMs decide alike on the same evidence, so they need no agreement, and the others adopt a
-//! quarantine that one of them began without having received its evidence.
+//! Invariant: all VMs decide alike on the same evidence, so they need no agreement. A VM adopts a quarantine
+//! that another VM began even if it has not received the evidence.
 
 use crate::{
     CrashHistory, CrashReport, CrashVerdict, EndpointCrash, MIN_CRASHES_PER_VERDICT, QuarantineMessage,
@@ -15,9 +15,9 @@
 /// for evidence and 30 for quarantines, and only while there are any.
 const REPEAT_INTERVAL_MILLIS: u64 = 1_000;
 
-/// Delay between the report with which a request may be fatal and its evaluation. Requests that were running at the same crash are
-/// reported one after the other, within 20 ms by VMs of one data centre and 140 ms across five, and the first
-/// reported must not look more suspicious than the others.
+/// Delay between the report after which a request may be found fatal and the request's evaluation. Requests
+/// that were running at the same crash are reported one after the other, within 20 ms by VMs of one data
+/// centre and 140 ms across five, and the first reported must not look more suspicious than the others.
 const EVIDENCE_DELAY_MILLIS: u64 = 150;
 /// Number of audiences, which are groups of VMs with separate messages: this data centre, other data centres,
 /// and the VMs of this one that receive relayed reports through a leader.
@@ -94,7 +94,7 @@
         self.table.quarantined(request, now)
     }
 
-    /// Whether there is evidence against a request, or a row of it.
+    /// Whether there is evidence against a request, or a row of it in the table of quarantines.
     pub fn has_records(&self, request: RequestKey) -> bool {
         self.table.contains(request) || self.history.crashes_of(request) > 0
     }
@@ -294,7 +294,7 @@
         changes
     }
 
-    /// Releases requests whose crashes are all attributed to others by now.
+    /// Releases quarantined requests whose crashes are now all attributed to other requests.
     fn release_exonerated(&mut self, now: Moment) -> Vec<QuarantineChange> {
         let quarantined = self.table.rows().filter(|(_, row)| row.phase == QuarantinePhase::Quarantined);
         let exonerated = quarantined.filter(|(request, _)| {
--- a/crates/decide/src/rollout/rollout_evidence.rs
+++ b/crates/decide/src/rollout/rollout_evidence.rs
@@ -1,4 +1,4 @@
-//! Statistical test whether a new version answers worse than the present one.
+//! Statistical test of whether a new version answers worse than the present one.
 //!
 //! A version may fail or be slow from its start on or later, under load, or on one route alone, and the
 //! present version may be faulty too. So each route's answers are compared with those of the other versions
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Value of the sum from which on a version is bad: a good one reaches it with a probability below one in ten
-/// thousand for each answer.
+/// Minimum value of the sum at which a version is bad: a good one reaches it with a probability below one in
+/// ten thousand for each answer.
 const BAD_SUM_THRESHOLD: f64 = 9.5;
 /// Minimum fraction of the otherwise good answers in which a bad version fails, or is slow.
 const MIN_BAD_FRACTION: f64 = 0.15;
@@ -28,7 +28,7 @@
 const MAX_BASELINE_RATIO: f64 = 0.7;
 /// Maximum number of runs of answers in a sum: a bad version shows within some tens.
 const MAX_ANSWER_RUNS: usize = 128;
-/// Multiple of the route's usual time from which on an answer is slow.
+/// Multiple of the route's usual time above which an answer is slow.
 const SLOW_FACTOR: f64 = 2.5;
 /// Weight of the newest answer in the usual time.
 const BASELINE_TIME_WEIGHT: f64 = 0.1;
--- a/crates/decide/src/rollout/rollout_order.rs
+++ b/crates/decide/src/rollout/rollout_order.rs
@@ -3,12 +3,12 @@
 use crate::StorePosition;
 use serde::{Deserialize, Serialize};
 
-/// Fraction of the exposure for canary requests: the remainder is for those that arrive until a late fault is
-/// detected.
+/// Fraction of the exposure for canary requests: the remainder is for requests that arrive until a late
+/// fault is detected.
 const CANARY_FRACTION: f64 = 0.3;
 /// Share of the requests while the rollout widens, as a multiple of the exposure.
 const WIDENING_FACTOR: f64 = 2.0;
-/// Fraction of the requests allowed beyond the share that goes to the new version at once, so that there are
+/// Fraction of the requests allowed beyond the share that the new version gets immediately, so that there are
 /// answers to evaluate where few requests arrive.
 const CANARY_SLACK_FRACTION: f64 = 0.4;
 
--- a/crates/decide/src/rollout/rollout_run.rs
+++ b/crates/decide/src/rollout/rollout_run.rs
@@ -14,7 +14,7 @@
 /// Time between the latest conclusion of a rollout and the end of its duration: VMs receive an order with a
 /// delay, and the conclusion must reach the store.
 const CONCLUDE_MARGIN_MILLIS: u64 = 1_200;
-/// Bound of that time for short rollouts, as a divisor of the duration.
+/// Upper bound of this margin for short rollouts, as a divisor of the duration.
 const CONCLUDE_DIVISOR: u64 = 10;
 /// Time after which all reachable VMs have received a phase.
 const PROPAGATION_DELAY_MILLIS: u64 = 1_000;
--- a/crates/decide/tests/weight_scheduler.rs
+++ b/crates/decide/tests/weight_scheduler.rs
@@ -99,7 +99,7 @@
     scheduler.set_aside(EndpointKey(0), 3, at(900));
     assert_eq!(scheduler.steps(&engines, at(300)), [cordoned(1)]);
     scheduler.set_aside(EndpointKey(1), 3, at(1_000));
-    // Its delay is over, but engines that were not tried yet come first.
+    // The delays of engines 0 and 1 are over, but engines that were not tried yet come first.
     assert_eq!(scheduler.steps(&engines, at(2_000)), [cordoned(2)]);
     let remaining = [engine(0, 1, 0), engine(1, 1, 0), engine(2, 3, 0), engine(3, 3, 0)];
     assert_eq!(scheduler.steps(&remaining, at(3_000)), [cordoned(0)]);
--- a/crates/gateway/src/endpoints/answer_facts.rs
+++ b/crates/gateway/src/endpoints/answer_facts.rs
@@ -112,7 +112,7 @@
     pub not_run: bool,
     /// Whether it has the endpoint's signature.
     pub is_signed: bool,
-    /// Requests per second that the endpoint takes from all VMs together.
+    /// Requests per second that the endpoint accepts from all VMs together.
     pub limit: HeaderField<f64>,
     /// Whether the endpoint is departing.
     pub leaving: HeaderField<bool>,
--- a/crates/gateway/src/endpoints/answer_handler.rs
+++ b/crates/gateway/src/endpoints/answer_handler.rs
@@ -11,13 +11,13 @@
 use serde::{Deserialize, Serialize};
 use spanfold_entity::{MICROS_PER_MILLI, Moment};
 
-/// Limits, and departures, that a VM repeats in each sweep.
+/// Maximum number of limits, and of departures, that a VM repeats in each sweep.
 const MAX_REPEATED_PER_SWEEP: usize = 1;
 
-/// The answer that states something.
+/// Sender and request of an answer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AnswerSource<'a> {
-    /// The endpoint that sent it.
+    /// The endpoint that sent the answer.
     pub key: EndpointKey,
     /// The request's id, or the path of the call; empty if another VM reported it.
     pub request: &'a str,
@@ -34,8 +34,8 @@
     Departure(EndpointKey),
 }
 
-/// The same in messages between VMs, in at most 31 bytes. It contains ages in place of moments, since VMs'
-/// clocks have different origins.
+/// An [`ObservedAnswer`] as messages between VMs contain it, in at most 31 bytes. It contains ages instead of
+/// moments, since VMs' clocks have different origins.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum AnswerRecord {
     Limit {
@@ -107,8 +107,8 @@
 }
 
 impl ForwardScope {
-    /// Returns the scope for a digest of `scope`; `is_local` if its sender described itself to its own data
-    /// centre.
+    /// Returns the scope for a digest of `scope`. `is_local` states whether the digest describes its sender
+    /// alone, which is a VM of this data centre.
     pub(crate) fn of(scope: DigestScope, is_local: bool, is_leader: bool) -> Self {
         match scope {
             DigestScope::Vm if is_local => Self::Remote,
--- a/crates/gateway/src/endpoints/crash_detector.rs
+++ b/crates/gateway/src/endpoints/crash_detector.rs
@@ -17,18 +17,20 @@
 
 /// Delay of the second probe of an address: a process that stops closes one socket after the other.
 const SECOND_PROBE_DELAY: Duration = Duration::from_millis(100);
-/// Service discovery reports a crash within this time: three heartbeats of 1.2 s, and more.
+/// Service discovery reports a crash within this time: three heartbeats of 1.2 s, plus a
+/// margin.
 const DISCOVERY_TIMEOUT_MILLIS: u64 = 6_000;
-/// Broken sends whose endpoints are being probed, or may yet be reported as crashed.
+/// Maximum number of recorded broken sends: their endpoints are being probed, or may yet be reported as
+/// crashed.
 const MAX_BROKEN_SENDS: usize = 1_024;
 
 /// A send whose connection broke before its answer was whole.
 #[derive(Clone, Debug)]
 pub(crate) struct BrokenSend {
     pub request: RequestKey,
-    /// The caller's id of it, for logs.
+    /// The caller's id of the request, for logs.
     pub request_id: String,
-    /// The crash to record if its endpoint crashed.
+    /// The crash to record if the endpoint crashed.
     pub crash: EndpointCrash,
     /// Time since the endpoint began to answer, or since the send if it had not, in microseconds.
     pub age_micros: u64,
@@ -58,8 +60,8 @@
 pub(crate) type ProbeCompletion = watch::Receiver<bool>;
 
 impl CrashDetector {
-    /// Adds a send. Returns the completion of its endpoint's probe, and whether to probe it now; none if
-    /// there is no free space.
+    /// Adds a send. Returns the completion of its endpoint's probe, and whether to probe the endpoint now;
+    /// none if [`MAX_BROKEN_SENDS`] are recorded already.
     fn add(
         &self,
         endpoint: &BrokenEndpoint,
@@ -91,7 +93,8 @@
         }
     }
 
-    /// Removes the sends of a crashed endpoint; none that broke too long before, when it may have survived.
+    /// Removes and returns the sends of a crashed endpoint; none if they have expired: the endpoint may have
+    /// survived these broken connections.
     fn take(&self, endpoint: EndpointKey, now: Moment) -> Option<CrashSuspicion> {
         let suspicion = self.0.lock().unwrap_or_else(PoisonError::into_inner).remove(&endpoint);
         suspicion.filter(|suspicion| now < suspicion.expires_at)
@@ -136,7 +139,8 @@
         suspicion.probed.send_replace(true);
     }
 
-    /// Records that `started` begins at an address: another endpoint with broken sends there has crashed.
+    /// Records that the endpoint `started` has an address: any other endpoint with broken sends there has
+    /// crashed.
     pub(crate) fn record_started_at(&self, address: SocketAddr, started: EndpointKey) {
         for endpoint in
             self.crash_detector.endpoints_at(address).into_iter().filter(|endpoint| *endpoint != started)
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -261,12 +261,12 @@
         true
     }
 
-    /// Locks the table of endpoints. Never held across a wait.
+    /// Locks the table of endpoints; the lock is not held across an await.
     pub(crate) fn table(&self) -> MutexGuard<'_, FleetTable> {
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks the table of the other VMs. Never held across a wait.
+    /// Locks the table of the other VMs; the lock is not held across an await.
     pub(crate) fn peers(&self) -> MutexGuard<'_, PeerTable> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -430,7 +430,7 @@
         place(&self.table(), request, self.now())
     }
 
-    /// Locks the record of whether all VMs have the same list. Never held across a wait.
+    /// Locks the record of whether all VMs have the same list; the lock is not held across an await.
     pub(crate) fn list_membership(&self) -> MutexGuard<'_, ListMembership> {
         self.list_membership.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/gateway/src/memory/chunk_channel.rs
+++ b/crates/gateway/src/memory/chunk_channel.rs
@@ -14,9 +14,9 @@
 use std::task::{Context, Poll};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 
-/// Chunks buffered for a caller.
+/// Maximum number of chunks buffered for a caller.
 const MAX_WAITING_CHUNKS: usize = 32;
-/// Bytes buffered for a caller.
+/// Maximum number of bytes buffered for a caller, except for one larger chunk.
 const MAX_WAITING_BYTES: usize = 64 << 10;
 
 /// A chunk of an answer, or why it was aborted.
--- a/crates/gateway/src/memory/memory_limiter.rs
+++ b/crates/gateway/src/memory/memory_limiter.rs
@@ -78,15 +78,16 @@
         self.limiter.state().held_bytes.pin(self.id);
     }
 
-    /// Whether it was evicted, because it was the largest.
+    /// Whether the reservation was evicted, because it was the largest.
     pub(crate) fn is_evicted(&self) -> bool {
         *self.evicted.borrow()
     }
 
-    /// Returns once it was evicted.
+    /// Returns once the reservation was evicted.
     pub(crate) async fn wait_until_evicted(&self) {
         let mut evicted = self.evicted.clone();
-        // Without a sender it was evicted or cannot be any more: what is awaited beside this goes on.
+        // The sender was dropped without a signal: the reservation can no longer be evicted, so this future
+        // never completes, and futures that are awaited beside it continue.
         if evicted.wait_for(|is_evicted| *is_evicted).await.is_err() {
             std::future::pending::<()>().await;
         }
--- a/crates/gateway/src/operators/gateway_metrics.rs
+++ b/crates/gateway/src/operators/gateway_metrics.rs
@@ -76,7 +76,7 @@
     pub held_bytes: Gauge,
     /// Requests aborted when memory ran out, by kind of their bytes.
     ///
-    /// These are the ones with most bytes buffered.
+    /// These are the requests with the most bytes buffered.
     pub ends: Family<KindLabel, Counter>,
 }
 
@@ -138,7 +138,8 @@
     pub store_era: Gauge,
     /// Answers of the store with an invalid era, or a lower one than the current.
     pub odd_eras: Family<KindLabel, Counter>,
-    /// Newest revision of the store that was reported to this VM; beyond `store_revision` it lacks changes.
+    /// Newest revision of the store that was reported to this VM; above `store_revision`, this VM lacks
+    /// changes.
     pub told_revision: Gauge,
     /// Counters of messages between VMs.
     pub peers: PeerCounters,
@@ -157,7 +158,7 @@
     pub limit_reports: Family<KindLabel, Counter>,
     /// Departures of endpoints, by source of the announcement.
     pub departures: Family<KindLabel, Counter>,
-    /// Answers that asked for a backoff, by kind of request.
+    /// Answers that asked for a backoff, by state of the header field.
     pub rests: Family<KindLabel, Counter>,
     /// Snapshots of all endpoints that other VMs requested from this one, by answer.
     pub endpoint_copies: Family<KindLabel, Counter>,
--- a/crates/gateway/src/operators/operator_port.rs
+++ b/crates/gateway/src/operators/operator_port.rs
@@ -45,7 +45,7 @@
                 async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // The balancer queries again, so a broken connection of its own is not an error.
+            // The balancer repeats its checks, so a broken connection from it is not an error.
             let _ = connection.await;
         });
     }
--- a/crates/gateway/src/orders/order_task.rs
+++ b/crates/gateway/src/orders/order_task.rs
@@ -20,7 +20,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Maximum reported time to an engine's stop at which it gets no new work, in milliseconds: the longest
+/// Reported time to an engine's stop up to which the engine gets no new work, in milliseconds: the longest
 /// deadline of requests that begin now. An engine that stops later reports that in its answers in time.
 const MAX_DEPARTURE_DELAY_MILLIS: u64 = 15_000;
 /// Interval between steps while loads are in progress: up to this much time is lost after each load.
@@ -89,7 +89,7 @@
 
 /// Loads that this VM orders while it holds the right, with their open calls.
 ///
-/// Dropping it cancels the calls.
+/// Dropping the runner cancels the calls.
 struct OrderRunner {
     scheduler: WeightScheduler,
     orders: JoinSet<FinishedOrder>,
@@ -270,7 +270,8 @@
 
 /// Whether a report is of another incarnation than the one that was queried.
 ///
-/// Its entry will report the new one. Orders, weights and counts of one incarnation do not apply to another.
+/// The engine's entry will report the new incarnation. Orders, weights and counts of one incarnation do not
+/// apply to another.
 fn is_other_incarnation(gateway: &Gateway, key: EndpointKey, report: &EngineReport) -> bool {
     let expected_start = gateway.table().row(key).and_then(|row| row.entry.born_millis);
     expected_start.is_some() && report.born_millis != expected_start
--- a/crates/gateway/src/orders/release_task.rs
+++ b/crates/gateway/src/orders/release_task.rs
@@ -22,15 +22,14 @@
 
 /// Interval between checks of the engines' weights.
 const POLL_INTERVAL: Duration = Duration::from_millis(400);
-/// Delay from the last report of old weights to the release, in milliseconds: reports
-/// of engines lag.
+/// Delay from the last report of old weights to the release, in milliseconds: reports of engines lag.
 const RELEASE_DELAY_MILLIS: u64 = 1_200;
 /// Time within which the answer to a call must begin.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Delay before a store is called again after a failed call, in milliseconds: a listing delays the store's
 /// own work.
 const RETRY_DELAY_MILLIS: u64 = 2_000;
-/// Segments released by one call.
+/// Maximum number of segments released by one call.
 const MAX_SEGMENTS_PER_CALL: usize = 256;
 
 /// Progress of releasing a model's outdated segments at one store.
--- a/crates/gateway/src/peers/peer_message.rs
+++ b/crates/gateway/src/peers/peer_message.rs
@@ -4,7 +4,8 @@
 //! platform's store; a forged one could put a configuration in force. The whole deployment shares one key:
 //! VMs trust one another, and their messages are no secret from the network.
 //!
-//! UDP, not QUIC: a message replaces the previous one, or what builds on it detects its loss.
+//! Messages are sent over UDP rather than QUIC: each replaces the previous one, or its loss is detected from
+//! messages that build on it.
 
 use crate::peers::cache_digest::CacheDigest;
 use crate::peers::load_digest::LoadDigest;
@@ -78,7 +79,7 @@
         let (content, code) = bytes.split_last_chunk::<CODE_BYTES>()?;
         let mut expected = [0; CODE_BYTES];
         expected.copy_from_slice(&blake3::keyed_hash(key, content).as_bytes()[..CODE_BYTES]);
-        // Compared in constant time: whole hashes of both codes.
+        // Hashes compare in constant time, so the hashes of both codes are compared.
         if blake3::hash(&expected) != blake3::hash(code) {
             return None;
         }
--- a/crates/gateway/src/peers/placement_message.rs
+++ b/crates/gateway/src/peers/placement_message.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 use spanfold_entity::Moment;
 
-/// Leading segments of a prompt that are propagated. With 64 messages of this size a digest stays below half
-/// of the largest datagram.
+/// Maximum number of leading segments of a prompt that are propagated. With 64 messages of this size a digest
+/// stays below half of the largest datagram.
 const MAX_SEGMENTS: usize = 16;
 
 /// A placed request: its engine, and the segments that the engine will cache.
--- a/crates/gateway/src/peers/relayed_updates.rs
+++ b/crates/gateway/src/peers/relayed_updates.rs
@@ -1,13 +1,14 @@
 //! Record of the store updates that this VM has relayed.
 //!
-//! Invariant: an update is relayed once, even where VMs disagree on who relays it: none circulates.
+//! Invariant: an update is relayed once, even where VMs disagree on which of them relays it, so no update
+//! circulates.
 
 use crate::VmKey;
 use crate::peers::peer_message::PeerStamp;
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
 
-/// Senders that are recorded: few VMs of a data centre send updates at the same time.
+/// Maximum number of recorded senders: few VMs of a data centre send updates at the same time.
 const MAX_REPORTERS: usize = 256;
 
 /// Incarnation and sequence of the newest relayed message of each sender.
--- a/crates/gateway/src/quarantine/quarantine_task.rs
+++ b/crates/gateway/src/quarantine/quarantine_task.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Writes a quarantine under a lease of its own; whether it or a later one is in the store.
+    /// Writes a quarantine under a lease of its own; returns whether it or a later one is in the store.
     async fn write(&mut self, request: RequestKey, row: &QuarantinedRequest) -> bool {
         let dialect = self.gateway.dialect.store;
         let remaining_millis = row.until.micros_since(self.gateway.now()) / MICROS_PER_MILLI;
--- a/crates/gateway/src/quarantine/quarantine_tracker.rs
+++ b/crates/gateway/src/quarantine/quarantine_tracker.rs
@@ -6,7 +6,7 @@
 //! other crashes.
 //!
 //! Invariant: a VM forwards each message that is new to it, so that the message reaches every VM once through
-//! the leaders; lost messages are repeated periodically.
+//! the leaders. Messages are repeated periodically, since some are lost.
 
 use crate::endpoints::crash_detector::{BrokenSend, millis};
 use crate::gateway::Gateway;
@@ -72,7 +72,7 @@
 }
 
 impl Gateway {
-    /// Locks the evidence and the quarantines. Never held across a wait.
+    /// Locks the evidence and the quarantines; the lock is not held across an await.
     pub(crate) fn quarantine_tracker(&self) -> MutexGuard<'_, QuarantineTracker> {
         self.quarantine_tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/gateway/src/requests/quota_queue.rs
+++ b/crates/gateway/src/requests/quota_queue.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Lifetime of a computed right: far less than the time for which a new VM waits.
+/// Lifetime of a computed right: far less than the time for which a new VM waits before it uses its share.
 const RIGHT_LIFETIME_MILLIS: u64 = 100;
 
 /// The right, and when it must be computed again.
--- a/crates/gateway/src/requests/relay.rs
+++ b/crates/gateway/src/requests/relay.rs
@@ -196,7 +196,7 @@
 /// The part of an answer's body that was read.
 enum AnswerStart {
     Whole(Bytes),
-    /// Its beginning, because the body exceeds the buffer limit.
+    /// The beginning of the body, because the body exceeds the buffer limit.
     Long(Bytes),
 }
 
@@ -213,7 +213,7 @@
     Ok(AnswerStart::Whole(prefix.freeze()))
 }
 
-/// Builds the caller's response from an endpoint's, without the headers of one connection.
+/// Builds the caller's response from an endpoint's, without its hop-by-hop headers and its content length.
 pub(crate) fn answer_with(head: &response::Parts, body: AnswerBody) -> Response<AnswerBody> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
--- a/crates/gateway/src/rollout/rollout_task.rs
+++ b/crates/gateway/src/rollout/rollout_task.rs
@@ -1,8 +1,8 @@
 //! Decides the phases of rollouts, while this VM holds the right to order engines.
 //!
 //! Invariant: each write has three conditions: this VM still holds the right, and neither the record nor the
-//! operators' status was written by another VM since this one read it. So of two VMs that both assume to hold
-//! the right, only one can write.
+//! operators' status was written by another VM since this one read it. So of two VMs that both assume that
+//! they hold the right, only one can write.
 
 use super::RECORD_PREFIX;
 use crate::gateway::Gateway;
--- a/crates/gateway/src/rollout/rollout_tracker.rs
+++ b/crates/gateway/src/rollout/rollout_tracker.rs
@@ -19,7 +19,7 @@
 const MIN_OBSERVATION_MILLIS: u64 = 100;
 
 impl Gateway {
-    /// Locks the table of rollouts. Never held across a wait.
+    /// Locks the table of rollouts; the lock is not held across an await.
     pub(crate) fn rollouts(&self) -> MutexGuard<'_, RolloutTable> {
         self.rollouts.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/gateway/src/store/store_updates.rs
+++ b/crates/gateway/src/store/store_updates.rs
@@ -32,7 +32,7 @@
     pub pause_micros: u64,
     /// Time since the store returned the changes, in microseconds.
     pub age_micros: u64,
-    /// Time since a call to the store last failed, in microseconds, while it still matters.
+    /// Time since a call to the store last failed, in microseconds; none if the store doesn't count as failing.
     pub trouble_micros: Option<u64>,
 }
 
