--- a/crates/kernel/src/world.rs
+++ b/crates/kernel/src/world.rs
@@ -1,7 +1,8 @@
 //! State that all plug-ins share: VMs, configuration and names.
 //!
-//! Invariant: the membership plug-in alone changes VM rows, the configuration plug-in alone
-//! changes the catalogue, and the health plug-in alone changes endpoint rows.
+//! Invariant: the membership plug-in alone updates VM rows; the configuration plug-in alone changes
+//! the catalogue and the fields of endpoint rows that follow from it; the health plug-in alone changes
+//! the other fields of endpoint rows.
 
 use crate::rendezvous;
 use spanfold_declare::Catalogue;
@@ -74,7 +75,7 @@
     pub draining: bool,
     /// After failures, it gets no work before this moment.
     pub ejected_until: Moment,
-    /// Number of failures since its last success.
+    /// Number of failures since a probe last found it ready outside an ejection.
     pub failures: u32,
     /// Number of requests that it reports as running.
     pub running: u32,
--- a/crates/keyvalue/src/head.rs
+++ b/crates/keyvalue/src/head.rs
@@ -29,7 +29,7 @@
     /// If there is no record, returns a head of generation zero and revision zero.
     ///
     /// # Errors
-    /// If the platform did not answer.
+    /// If the platform did not answer or reported an error.
     pub async fn read(client: &KeyValueClient) -> Result<(Self, u64), PlatformError> {
         Ok(client.get(HEAD_KEY).await?.map_or_else(Default::default, |value| parse_head(&value)))
     }
@@ -120,7 +120,7 @@
 /// Reads the chunks named by `digests`; omits missing ones.
 ///
 /// # Errors
-/// If the platform did not answer.
+/// If the platform did not answer or reported an error.
 pub async fn read_bundle(client: &KeyValueClient, digests: &[String]) -> Result<Vec<String>, PlatformError> {
     let mut texts = Vec::new();
     for digest in digests {
--- a/crates/keyvalue/src/http.rs
+++ b/crates/keyvalue/src/http.rs
@@ -2,7 +2,8 @@
 //!
 //! Errors distinguish calls that were not sent from those that may have taken effect. Invariant:
 //! [`PlatformError::NotSent`] is returned only if no byte of the call left this process; after any
-//! other error the call may have taken effect.
+//! other error the call may have taken effect. A watch has no effect, so each failure to open one is
+//! returned as `NotSent`.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
--- a/crates/keyvalue/src/key_value.rs
+++ b/crates/keyvalue/src/key_value.rs
@@ -2,7 +2,7 @@
 //!
 //! Keys and values are base64 in JSON; 64-bit numbers are JSON strings (the protobuf mapping).
 //! Invariant: every call is counted by kind, an open watch as one call, because the platform's
-//! rates grow more slowly than the fleet.
+//! rate limits grow more slowly than the fleet.
 
 use crate::PlatformError;
 use crate::http::{JsonClient, call, json_client, json_request};
@@ -83,7 +83,7 @@
     /// Reads one key.
     ///
     /// # Errors
-    /// If the platform did not answer.
+    /// If the platform did not answer or reported an error.
     pub async fn get(&self, key: &str) -> Result<Option<StoredValue>, PlatformError> {
         Ok(self.range(&json!({ "key": encode_base64(key) })).await?.pop())
     }
@@ -91,7 +91,7 @@
     /// Reads at most `limit` keys from `start` up to but not including `end`, in order.
     ///
     /// # Errors
-    /// If the platform did not answer.
+    /// If the platform did not answer or reported an error.
     pub async fn get_range(
         &self,
         start: &str,
@@ -113,17 +113,17 @@
     /// Writes one key, regardless of its current value.
     ///
     /// # Errors
-    /// If the platform did not answer; the write may have taken effect.
+    /// If the platform did not answer or reported an error; the write may have taken effect.
     pub async fn put(&self, key: &str, text: &str) -> Result<(), PlatformError> {
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
         let body = json!({ "key": encode_base64(key), "value": encode_base64(text) });
         call(&self.client, self.address, "/v3/kv/put", Some(&body), CALL_TIMEOUT).await.map(drop)
     }
 
-    /// Writes `key` if its last change is at `revision`; zero: if it does not exist.
+    /// Writes `key` if its last change was at `revision`; zero requires that the key does not exist.
     ///
     /// # Errors
-    /// If the platform did not answer; the write may have taken effect.
+    /// If the platform did not answer or reported an error; the write may have taken effect.
     pub async fn compare_and_swap(
         &self,
         key: &str,
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Maximum length of a frame's body; the chunks of a whole configuration fit in.
+/// Maximum length of a frame's body, large enough for the chunks of a whole configuration.
 const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 const LENGTH_PREFIX_BYTES: usize = 4;
 
--- a/crates/peer/src/identity.rs
+++ b/crates/peer/src/identity.rs
@@ -1,7 +1,7 @@
 //! A VM's identity: its name, certificate and key, and its certificate authority.
 //!
 //! Invariant: both sides of a connection present a certificate of the same authority that is valid
-//! for the name they use; the key of one VM cannot authenticate another.
+//! for the VM name that they state; the key of one VM cannot authenticate another.
 
 use quinn::crypto::rustls::{QuicClientConfig, QuicServerConfig};
 use rustls::pki_types::pem::PemObject;
--- a/crates/policy/src/fair_queue.rs
+++ b/crates/policy/src/fair_queue.rs
@@ -39,7 +39,7 @@
 /// Lower bound of the prune threshold: fewer idle accounts are not worth a pass.
 const MIN_PRUNE_THRESHOLD: usize = 64;
 
-/// Smallest weight: with a lower one, a single item would block its account for good.
+/// Smallest weight: with a lower one, a single item would block its account permanently.
 const MIN_WEIGHT: f64 = 1e-6;
 
 impl<T> Default for FairQueue<T> {
--- a/crates/policy/src/orders.rs
+++ b/crates/policy/src/orders.rs
@@ -7,8 +7,8 @@
 //! repeated order changes nothing.
 //!
 //! The lease is a record that its holder renews by compare-and-swap; another VM takes it over once it
-//! has been unchanged for long enough. The platform's own leases do the same, but a paused holder would
-//! not notice that one has expired. One gateway in each data centre polls the record.
+//! has been unchanged for long enough. A lease of the platform would expire as well, but a paused holder
+//! would not notice that it has expired. One gateway in each data centre polls the record.
 
 use crate::membership::is_gateway;
 use serde::{Deserialize, Serialize};
@@ -66,8 +66,8 @@
     lease_safe_until: Moment,
     orders_start_at: Moment,
     engines: BTreeMap<String, EngineOrder>,
-    /// Engines probed by this VM that differ from the required version, or did until recently. The
-    /// value is the number of reports left.
+    /// Engines probed by this VM whose version differs from the required one, or did until recently. The
+    /// value is the number of reports still to send after the version matches.
     differing_engines: BTreeMap<String, u8>,
 }
 
@@ -153,11 +153,11 @@
         self.lease_safe_until = requested_at.after_millis(LEASE_LIFETIME_MILLIS - LEASE_MARGIN_MILLIS);
     }
 
-    /// Reports a probed engine to the lease holder if it differs from the required version.
+    /// Reports a probed engine to the lease holder if its version differs from the required one.
     ///
-    /// When it no longer differs, this is reported a few times, because the report ends a load and may
-    /// be lost. Reporting all engines would send the holder one message a second for each engine of the
-    /// deployment.
+    /// When the version no longer differs, this is reported a few times, because the report ends a load
+    /// and may be lost. Reporting all engines would send the holder one message a second for each engine
+    /// of the deployment.
     fn report_to_holder(&mut self, context: &mut Context<'_>, endpoint: &str, weights: &LoadedWeights) {
         let Some(required) = required_version(context.world, endpoint) else { return };
         if required != weights.version || weights.loading {
--- a/crates/policy/tests/fair_queue.rs
+++ b/crates/policy/tests/fair_queue.rs
@@ -33,7 +33,7 @@
     let mut queue = FairQueue::default();
     queue.push(LARGE, 0.5, 0, Moment(0), 0);
     queue.take(LARGE, 0, 1_000.0);
-    // Many idle accounts must not evict the record of its charge.
+    // Many idle accounts must not evict the record of this charge.
     for other in 2..500 {
         queue.push(AccountIndex(other), 0.5, 0, Moment(0), 0);
         queue.take(AccountIndex(other), 0, 1.0);
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Invariants of a few kernels under seeded random sequences of faults.
 //!
-//! A small fake carries messages, logs and probes between kernels. CI runs a fixed seed; a longer run
+//! A fake replaces the network, the platform and the engines. CI runs a fixed seed; a longer run
 //! by hand: `PROPTEST_CASES=5000 cargo test -p spanfold-policy --test fleet --release`.
 
 mod fake;
@@ -83,8 +83,8 @@
 
 /// Guards against a home that releases a claim that was used.
 ///
-/// The requester may have claimed the key past its home with the same nonce. If the home then releases
-/// the claim as late, the key is free again although the call ran.
+/// The requester may have bypassed the home and claimed the key with the same nonce. If the home then
+/// releases the claim as late, the key is free again although the call ran.
 #[test]
 fn a_home_does_not_release_a_claim_that_was_used() {
     let attempt = |key| Fault::Attempt { vm: 0, key, body: 0 };
@@ -101,10 +101,10 @@
     run(faults).unwrap();
 }
 
-/// Guards against a home that counts a claim written behind another VM's.
+/// Guards against a home that accepts its claim although another VM's claim precedes it in the log.
 ///
 /// A home that reads its log again while a write is pending writes the same claim one entry later,
-/// behind another VM's claim on the key. It must not treat the key as its own.
+/// after another VM's claim on the key. The home must not treat the key as its own.
 #[test]
 fn a_claim_written_after_another_does_not_count() {
     let attempt = |vm, key| Fault::Attempt { vm, key, body: 0 };
--- a/crates/spanfold/src/main.rs
+++ b/crates/spanfold/src/main.rs
@@ -1,6 +1,6 @@
 //! `spanfold`: the operators' command.
 //!
-//! Exit codes: 0 success, 1 findings or differences, 2 wrong use, 3 another change was accepted first,
+//! Exit codes: 0 success, 1 findings or differences, 2 invalid usage, 3 another change was accepted first,
 //! 4 platform or VM unreachable, 5 change not in force in time.
 
 mod arguments;
--- a/crates/spanfoldd/src/caller/completion.rs
+++ b/crates/spanfoldd/src/caller/completion.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Endpoints at which one request is attempted.
+/// Maximum number of endpoints tried for each start of a run.
 const MAX_ATTEMPTS: usize = 3;
 /// Time after which an engine that has not answered a liveness probe counts as failed.
 const LIVENESS_TIMEOUT: Duration = Duration::from_secs(1);
@@ -89,7 +89,9 @@
     }
 }
 
-/// Starts a run at an endpoint, and at another one if the first fails.
+/// Starts a run at an endpoint; after a failure, at another one.
+///
+/// The number of attempts, the retry budget and the deadline bound the retries.
 pub(crate) async fn start_run(
     shared: &Arc<SharedState>,
     call: &CompletionCall,
@@ -238,7 +240,7 @@
     Value::Object(body)
 }
 
-/// Cancels a run at its engine when no caller waits for it any more.
+/// Cancels a run at its engine when its answer is no longer needed.
 pub(crate) async fn cancel(shared: &SharedState, location: &StreamLocation) {
     let Some(address) = address_of(shared, &location.endpoint) else { return };
     let url = format!("http://{address}/v1/streams/{}", location.stream);
--- a/crates/spanfoldd/src/platform_task.rs
+++ b/crates/spanfoldd/src/platform_task.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Records the addresses of listed entry VMs and discards those of unlisted ones.
+/// Records the addresses of listed entry VMs; discards the addresses and message queues of unlisted ones.
 ///
 /// A VM that was removed from the list may still finish its streams.
 fn update_addresses(shared: &SharedState, vms: &[ListedVm]) {
@@ -121,7 +121,7 @@
     shared.send_event(Event::ChunksRead { texts: Vec::new() }).await;
 }
 
-/// Parses a configuration on a traffic thread, to save time of the control thread.
+/// Parses a configuration on a thread for blocking tasks, so that the control thread need not.
 pub(crate) async fn configure(shared: &SharedState, generation: u64, texts: Vec<Arc<str>>) {
     let parsed = tokio::task::spawn_blocking(move || {
         let text = texts.concat();
@@ -241,7 +241,7 @@
     match shared.key_value.compare_and_swap(LEASE_KEY, revision, &text).await {
         Ok(SwapOutcome::Written) => shared.send_event(Event::LeaseWritten { text }).await,
         Ok(SwapOutcome::Conflict(_)) => log::info!("lease.lost"),
-        // If the write took effect, the next read shows the lease unchanged by other VMs, and it is renewed.
+        // If the write took effect, the next read returns this VM's own record, and the lease is renewed.
         Err(error) => log::warn!(error:% = error; "lease.unwritten"),
     }
 }
--- a/crates/standin/examples/bench.rs
+++ b/crates/standin/examples/bench.rs
@@ -116,7 +116,7 @@
             .into_iter()
             .map(|(name, data_centre)| EnginePlan { name, data_centre, rates, fenced: true })
             .collect(),
-        // The stores are in a data centre of their own and serve all.
+        // The stores are in a data centre of their own and serve the engines of all others.
         stores: (0..integer(fleet, "stores"))
             .map(|n| StorePlan {
                 name: format!("store-{n}"),
--- a/crates/standin/examples/daemon_cost.rs
+++ b/crates/standin/examples/daemon_cost.rs
@@ -73,7 +73,10 @@
     tasks.join_all().await.into_iter().flatten().unzip()
 }
 
-/// Kills a cell's home under load; prints the time until another VM is home, and how many calls it affected.
+/// Kills a cell's home under load.
+///
+/// Prints the time until another VM is the home, and the numbers of calls that were served and that were
+/// decided without a home.
 async fn measure_home_failover(binary: &Path) -> std::io::Result<()> {
     let mut deployment = Deployment::start(plan(binary, 3, 1_000)).await?;
     let cell = "assistants/dc-a/0";
